--- /dev/null
+++ b/tests/exchange_test.cpp
@@ -0,0 +1,140 @@
+// The JSON form in which the tests pass commands and effects between today's code and earlier versions of it: no field may
+// fall out of it unseen.
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+#include <random>
+
+#include "versions/current_fields.h"
+#include "versions/previous_version.h"
+
+namespace rushtrestle::exchange {
+namespace {
+
+/// Gives every field that `describe` lists a value.
+struct Filler {
+  std::mt19937_64& rng;
+
+  uint64_t below(uint64_t limit) { return rng() % limit; }
+
+  template <class T>
+  Filler& operator()(const char* /*name*/, T& value) {
+    fill(value);
+    return *this;
+  }
+
+  template <class T>
+  void fill(T& value) {
+    constexpr uint64_t kEnumerators = 3;  // every enum has as many at the least
+    constexpr uint64_t kNumbers = 1000;
+    constexpr uint64_t kMostElements = 4;
+    if constexpr (std::same_as<T, Json>) {
+      value = {{"w", below(kNumbers)}};
+    } else if constexpr (std::same_as<T, bool>) {
+      value = below(2) == 0;
+    } else if constexpr (std::is_arithmetic_v<T>) {
+      value = static_cast<T>(below(kNumbers) + 1);
+    } else if constexpr (std::same_as<T, std::string>) {
+      value = "job-" + std::to_string(below(kNumbers));
+    } else if constexpr (std::is_enum_v<T>) {
+      value = static_cast<T>(below(kEnumerators));
+    } else if constexpr (kIsOptional<T>) {
+      if (below(kMostElements) > 0) fill(value.emplace());
+    } else if constexpr (kIsVector<T>) {
+      value.resize(below(kMostElements));
+      for (auto& element : value) fill(element);
+    } else if constexpr (kIsPair<T>) {
+      fill(value.first);
+      fill(value.second);
+    } else if constexpr (kIsVariant<T>) {
+      std::visit([this](auto& alternative) { fill(alternative); }, value);
+    } else {
+      describe(*this, value);
+      if constexpr (std::same_as<T, Handover>) value.mark.upto = value.from + value.cancellations.size();
+    }
+  }
+
+  /// One value of each alternative, of each kind of reply and of each kind of call.
+  template <class... T>
+  void fill_all(std::vector<std::variant<T...>>& values) {
+    (add_each<T>(values), ...);
+  }
+
+ private:
+  template <class T, class Values>
+  void add_each(Values& values) {
+    if constexpr (std::same_as<T, CallDone>) {
+      add_each_reply(values, Reply{});
+    } else if constexpr (std::same_as<T, Call>) {
+      add_each_call(values, CallBody{});
+    } else {
+      fill(values.emplace_back(T{}));
+    }
+  }
+  template <class Values, class... T>
+  void add_each_reply(Values& values, const std::variant<T...>& /*kinds*/) {
+    (values.emplace_back(CallDone{below(100), 200, filled<T>()}), ...);
+  }
+  template <class Values, class... T>
+  void add_each_call(Values& values, const std::variant<T...>& /*kinds*/) {
+    (values.emplace_back(Call{below(100), 1.0, filled<T>()}), ...);
+  }
+  template <class T>
+  T filled() {
+    T value{};
+    fill(value);
+    return value;
+  }
+};
+
+/// A body of a message between controllers is JSON text within the JSON.
+Json opened(const Json& value) {
+  if (!value.is_string()) return value;
+  const Json inner = Json::parse(value.get<std::string>(), nullptr, false);
+  return inner.is_object() ? inner : value;
+}
+
+/// Every field that the earlier version writes stands in ours, with the same value; lists have the same length.
+void expect_contained(const Json& earlier_value, const Json& current_value, const std::string& path) {
+  const Json earlier = opened(earlier_value);
+  const Json current = opened(current_value);
+  if (earlier.is_object() && current.is_object()) {
+    for (const auto& [name, value] : earlier.items()) {
+      RC_ASSERT(current.contains(name));
+      expect_contained(value, current.at(name), path + "/" + name);
+    }
+  } else if (earlier.is_array() && current.is_array()) {
+    RC_ASSERT(earlier.size() == current.size());
+    for (size_t i = 0; i < earlier.size(); ++i) expect_contained(earlier[i], current[i], path + "/" + std::to_string(i));
+  } else {
+    RC_LOG() << path << ": " << earlier << " / " << current << '\n';
+    RC_ASSERT(earlier == current);
+  }
+}
+
+template <class T>
+Json every_kind_of(uint64_t seed) {
+  std::mt19937_64 rng(seed);
+  std::vector<T> values;
+  Filler{rng}.fill_all(values);
+  const Json saved = save(values);
+  std::vector<T> read;
+  load(saved, read);
+  RC_ASSERT(save(read) == saved);
+  return saved;
+}
+
+RC_GTEST_PROP(Exchange, CommandsReachEarlierVersionsWhole, (uint64_t seed)) {
+  const Json commands = every_kind_of<Command>(seed);
+  expect_contained(previous_versions::commit_9fefab8().rewrite_commands(commands), commands, "9fefab8");
+  expect_contained(previous_versions::commit_a244c51().rewrite_commands(commands), commands, "a244c51");
+}
+
+RC_GTEST_PROP(Exchange, EffectsReachEarlierVersionsWhole, (uint64_t seed)) {
+  const Json effects = every_kind_of<Effect>(seed);
+  expect_contained(previous_versions::commit_9fefab8().rewrite_effects(effects), effects, "9fefab8");
+  expect_contained(previous_versions::commit_a244c51().rewrite_effects(effects), effects, "a244c51");
+}
+
+}  // namespace
+}  // namespace rushtrestle::exchange
--- a/tests/simulated_controller.cpp
+++ b/tests/simulated_controller.cpp
@@ -2,7 +2,8 @@
 
 #include <utility>
 
-#include "versions/exchange.h"
+#include "effect_digest.h"
+#include "versions/current_fields.h"
 #include "versions/previous_version.h"
 
 namespace rushtrestle::testing {
@@ -18,7 +19,9 @@
   explicit CurrentController(const ControllerStart& s)
       : core_(s.settings, s.operators, s.incarnation, s.seed, s.log_level) {}
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock) override {
-    return core_.handle(commands, clock);
+    std::vector<Effect> effects = core_.handle(commands, clock);
+    for (const Effect& effect : effects) record_effect(effect);
+    return effects;
   }
   std::optional<double> next_wakeup() override { return core_.next_wakeup(); }
 
--- a/tests/versions/previous_version.cpp
+++ b/tests/versions/previous_version.cpp
@@ -4,7 +4,7 @@
 
 #include <deque>
 
-#include "versions/exchange.h"
+#include "versions/earlier_fields.h"
 
 namespace rushtrestle::exchange {
 namespace {
@@ -40,13 +40,24 @@
 
 Json rewrite_machine(const Json& record) { return to_json(store::machine_record_from_json(record)); }
 
+/// Reads a value of the type and writes it again.
+template <class T>
+Json rewrite(const Json& value) {
+  T read;
+  load(value, read);
+  return save(read);
+}
+
 }  // namespace
 }  // namespace rushtrestle::exchange
 
 namespace previous_versions {
 
 Version RUSHTRESTLE_VERSION_FACTORY() {
-  return {rushtrestle::exchange::start, rushtrestle::exchange::rewrite_job, rushtrestle::exchange::rewrite_machine};
+  namespace exchange = rushtrestle::exchange;
+  namespace coordination = rushtrestle::coordination;
+  return {exchange::start, exchange::rewrite_job, exchange::rewrite_machine,
+          exchange::rewrite<std::vector<coordination::Command>>, exchange::rewrite<std::vector<coordination::Effect>>};
 }
 
 }  // namespace previous_versions
--- a/tests/versions/previous_version.h
+++ b/tests/versions/previous_version.h
@@ -35,6 +35,9 @@
   /// Reads a record and writes it again: what this version does not know is gone.
   Json (*rewrite_job)(const Json& record) = nullptr;
   Json (*rewrite_machine)(const Json& record) = nullptr;
+  /// The same with a list of commands or effects, in the form of versions/exchange.h.
+  Json (*rewrite_commands)(const Json& commands) = nullptr;
+  Json (*rewrite_effects)(const Json& effects) = nullptr;
 };
 
 /// The first recorded version in production.
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -370,4 +370,13 @@
   }
 }
 
+Json World::stats_of(int node) {
+  Node& asked = nodes_.at(static_cast<size_t>(node));
+  std::deque<Command> commands{ShowStats{next_request_++}};
+  const Clock clock{now_ * asked.drift + 1000, now_ + 1e9 + asked.wall_offset, {}};
+  for (Effect& effect : asked.core->handle(commands, clock))
+    if (auto* answer = std::get_if<AnswerStats>(&effect)) return std::move(answer->body);
+  return {};
+}
+
 }  // namespace rushtrestle::testing
--- a/tests/world.h
+++ b/tests/world.h
@@ -146,6 +146,8 @@
   size_t gathering(const std::string& job) const;  // tasks that wait for the others of their gang
   double safe_progress(const std::string& gang) const { return jobs_.at(gang).safe; }
   const Json* stored(const std::string& key) const;
+  /// The body of `/stats` of a controller that is up.
+  Json stats_of(int node);
 
  private:
   struct Node {
