--- a/tests/fault_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -1,17 +1,17 @@
 // Whose fault a failed task is: the job's, that was submitted with a mistake, or the machine's.
-#include "coordination/fault_attribution.h"
+#include "coordination/shard/failure_attribution.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdio>
 #include <set>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 namespace {
 
-TEST(FaultAttribution, OnlyJobsThatDoNotFailEverywherePointToAMachine) {
+TEST(FailureAttribution, OnlyJobsThatDoNotFailEverywherePointToAMachine) {
   const FailedJob new_one{false, 1};
   const FailedJob broken{false, 2};
   const FailedJob healthy{true, 3};
@@ -39,7 +39,7 @@
 }
 
 /// Machines that are condemned at some look, four a second, until the end of the play.
-std::set<std::string> condemned_until(World& w, double end) {
+std::set<std::string> condemned_until(ClusterSimulation& w, double end) {
   std::set<std::string> condemned;
   while (w.now() < end) {
     w.run_until(w.now() + 0.25);
@@ -48,21 +48,21 @@
       std::snprintf(key, sizeof key, "machine/n-%06d", i);
       const auto* record = w.stored(key);
       if (!record) break;
-      if (record->at("phase") == static_cast<int>(store::MachinePhase::condemned)) condemned.insert(key);
+      if (record->at("phase") == static_cast<int>(store::MachinePhase::marked_for_deletion)) condemned.insert(key);
     }
   }
   return condemned;
 }
 
-World::Options quiet_cloud() {
-  World::Options options;
+ClusterSimulation::Options quiet_cloud() {
+  ClusterSimulation::Options options;
   options.boot_failures = false;
   options.consolidate = false;
   return options;
 }
 
-TEST(FaultAttribution, JobsWithAMistakeCondemnNoMachineAndCostLittle) {
-  World w(quiet_cloud());
+TEST(FailureAttribution, JobsWithAMistakeCondemnNoMachineAndCostLittle) {
+  ClusterSimulation w(quiet_cloud());
   constexpr int kBroken = 4;
   for (int i = 0; i < kBroken; ++i) {
     const std::string id = "job-" + std::to_string(10 + i);
@@ -80,8 +80,8 @@
   }
 }
 
-TEST(FaultAttribution, ABadMachineIsCondemnedAndItsJobsGoOnElsewhere) {
-  World w(quiet_cloud());
+TEST(FailureAttribution, ABadMachineIsCondemnedAndItsJobsGoOnElsewhere) {
+  ClusterSimulation w(quiet_cloud());
   auto first = array_of("job-1", 2);
   first.estimate_s = 30;
   w.submit(first, 3);
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -3,18 +3,18 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "troubles.h"
+#include "simulation/generated_faults.h"
 
 namespace rushtrestle::testing {
 namespace {
 
 RC_GTEST_PROP(Failures, NoScheduleOfTroublesBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(8, rc::gen::container<std::vector<Trouble>>(troubles()));
-  World::Options options;
+  const auto schedule = *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(faults()));
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
-  World w(options);
+  ClusterSimulation w(options);
   std::mt19937_64 rng(seed);
   constexpr int kJobs = 24;
   for (int i = 0; i < kJobs; ++i) {
--- a/tests/frozen_formats_test.cpp
+++ b/tests/frozen_formats_test.cpp
@@ -11,7 +11,7 @@
 
 #include "protocol/codec.h"
 #include "protocol/settings.h"
-#include "troubles.h"
+#include "simulation/generated_faults.h"
 #include "versions/current_fields.h"
 
 namespace rushtrestle::testing {
@@ -85,11 +85,11 @@
 }
 
 store::MachineRecord machine_record() {
-  return {"n-000001", "10.1.0.1:9000", "g8", "north", true, 2, 1, true, store::MachinePhase::offered, 990.5};
+  return {"n-000001", "10.1.0.1:9000", "g8", "north", true, 2, 1, true, store::MachinePhase::reassignment_requested, 990.5};
 }
 
-WorkerReport worker_report() {
-  WorkerReport r{"n-000001", "10.1.0.1:9000", "g8", "north", true, 3, 17, 42, 25.0, {}};
+Heartbeat worker_report() {
+  Heartbeat r{"n-000001", "10.1.0.1:9000", "g8", "north", true, 3, 17, 42, 25.0, {}};
   r.tasks = {{"job-000412", 3, 6, TaskState::running, ExitCause::none, true, false},
              {"job-000413", 0, 1, TaskState::exited, ExitCause::error, false, false}};
   return r;
@@ -105,16 +105,16 @@
   PeerState s;
   s.node = "node-1";
   s.incarnation = "node-1.7";
-  s.has_state = s.synced = true;
+  s.has_state_store = s.synced = true;
   s.backlog = 3;
-  s.parts = {0, 2};
-  s.heard = {"n-000009"};
+  s.shards = {0, 2};
+  s.machines_heard = {"n-000009"};
   s.nodes = {"node-0", "node-2"};
   s.at = 1000.5;
   s.revision = 77;
   s.current_age_s = 0.5;
-  s.has = HandoverMark{"node-0.3", 5};
-  s.handover = Handover{{"node-1.7", 4}, 2, true, {{"job-000412", 70}, {"job-000413", 71}}};
+  s.acknowledged = CancellationPosition{"node-0.3", 5};
+  s.offered_cancellations = CancellationOffer{{"node-1.7", 4}, 2, true, {{"job-000412", 70}, {"job-000413", 71}}};
   s.version = "0.2.0";
   s.record_format = 1;
   s.budget_need = 0.25;
@@ -127,17 +127,17 @@
   const std::vector<std::pair<const char*, CallBody>> all = {
       {"txn", txn},
       {"read_key", ReadKey{"job/a b"}},
-      {"read_page", ReadPage{"job/", "job/job-1"}},
+      {"read_page", ListKeys{"job/", "job/job-1"}},
       {"grant_lease", GrantLease{3.5}},
-      {"extend_lease", ExtendLease{9}},
+      {"extend_lease", RenewLease{9}},
       {"watch", Watch{77, 4}},
-      {"get_types", GetTypes{}},
-      {"rent_machines", RentMachines{"h-1", "g8", "north", true, 3}},
+      {"get_types", ListMachineTypes{}},
+      {"rent_machines", ProvisionMachines{"h-1", "g8", "north", true, 3}},
       {"delete_machines", DeleteMachines{{"n-000001", "n-000002"}}},
       {"list_machines", ListMachines{"n-000001"}},
-      {"command_worker", CommandWorker{"10.1.0.1:9000", 42, 3, worker_commands()}},
-      {"tell_peer", TellPeer{"10.0.0.2:8081", peer_state()}},
-      {"relay_report", RelayReport{"10.0.0.2:8081", worker_report()}}};
+      {"command_worker", PushCommands{"10.1.0.1:9000", 42, 3, worker_commands()}},
+      {"tell_peer", SendPeerState{"10.0.0.2:8081", peer_state()}},
+      {"relay_report", ForwardHeartbeat{"10.0.0.2:8081", worker_report()}}};
   Json out;
   for (const auto& [name, body] : all) out[name] = form_of(protocol::encode(Call{1, 1, body}));
   return out;
@@ -154,10 +154,10 @@
   out["user_unknown"] = form_of(protocol::encode(AnswerUser{1, 404, std::nullopt, 0}));
   out["user_never"] = form_of(protocol::encode(AnswerUser{1, 422, std::nullopt, 0}));
   out["healthy"] = form_of(protocol::encode(AnswerUser{1, 200, std::nullopt, 0}));
-  out["worker"] = form_of(protocol::encode(AnswerReport{1, {200, 42, worker_commands(), ""}}));
-  out["worker_sent_on"] = form_of(protocol::encode(AnswerReport{1, {421, 0, {}, "node-2"}}));
-  out["worker_not_now"] = form_of(protocol::encode(AnswerReport{1, {}}));
-  out["relayed"] = form_of(protocol::encode(AnswerRelayedReport{1, {200, 42, worker_commands(), ""}}));
+  out["worker"] = form_of(protocol::encode(AnswerHeartbeat{1, {200, 42, worker_commands(), ""}}));
+  out["worker_sent_on"] = form_of(protocol::encode(AnswerHeartbeat{1, {421, 0, {}, "node-2"}}));
+  out["worker_not_now"] = form_of(protocol::encode(AnswerHeartbeat{1, {}}));
+  out["relayed"] = form_of(protocol::encode(AnswerForwardedHeartbeat{1, {200, 42, worker_commands(), ""}}));
   out["peer"] = form_of(protocol::encode(AnswerPeer{1, peer_state()}));
   out["stats"] = form_of(protocol::encode(AnswerStats{1, {{"a", 1}}}));
   return out;
@@ -186,7 +186,7 @@
 
 Json requests() {
   const std::string job = protocol::to_cbor(job_message());
-  const std::string report = protocol::to_cbor(report_message());
+  const std::string heartbeat = protocol::to_cbor(report_message());
   const auto user = [](const char* method, const char* target, const std::string& body) {
     return form_of(protocol::decode_request(1, method, target, body, false));
   };
@@ -200,15 +200,15 @@
   out["query_odd_id"] = user("GET", "/v1/jobs/task-1", "");
   out["health"] = user("GET", "/up", "");
   out["stats"] = user("GET", "/stats", "");
-  out["report"] = user("POST", "/checkin", report);
+  out["report"] = user("POST", "/checkin", heartbeat);
   out["report_malformed"] = user("POST", "/checkin", "x");
   out["no_such_path"] = user("GET", "/other", "");
   const auto too_large = protocol::decode_request(1, "POST", "/v1/jobs", job, true);
   out["submit_too_large"] = form_of(too_large);
   const std::string status = protocol::encode(AnswerPeer{0, peer_state()}).body;
-  const std::string relayed = protocol::encode(Call{0, 0, RelayReport{"", worker_report()}}).body;
+  const std::string forwarded = protocol::encode(Call{0, 0, ForwardHeartbeat{"", worker_report()}}).body;
   out["peer"] = form_of(protocol::decode_peer_request(1, "POST", "/peer", status));
-  out["relay"] = form_of(protocol::decode_peer_request(1, "POST", "/relay", relayed));
+  out["relay"] = form_of(protocol::decode_peer_request(1, "POST", "/relay", forwarded));
   out["peer_malformed"] = form_of(protocol::decode_peer_request(1, "POST", "/peer", "{}"));
   return out;
 }
@@ -229,17 +229,17 @@
   out["read_key"] = decoded(ReadKey{}, 200, {{"v", {{"a", 1}}}, {"stamp", 5}});
   out["read_key_absent"] = decoded(ReadKey{}, 404, {{"epoch", 9}});
   out["read_page"] = decoded(
-      ReadPage{}, 200,
+      ListKeys{}, 200,
       {{"entries", Json::array({{{"k", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}}})}, {"hasNext", true}, {"epoch", 9}});
   out["lease"] = decoded(GrantLease{}, 200, {{"tenancy", 4}});
   out["watch"] = decoded(Watch{}, 200,
                          {{"epoch", 9},
                           {"log", Json::array({{{"put", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}},
                                                {{"delete", "part/1"}, {"stamp", 6}}})}});
-  out["types"] = decoded(GetTypes{}, 200, {{"breeds", Json::array({type})}});
-  out["rent"] = decoded(RentMachines{}, 200, {{"rigs", Json::array({"n-1", "n-2"})}});
+  out["types"] = decoded(ListMachineTypes{}, 200, {{"breeds", Json::array({type})}});
+  out["rent"] = decoded(ProvisionMachines{}, 200, {{"rigs", Json::array({"n-1", "n-2"})}});
   out["list"] = decoded(ListMachines{}, 200, {{"rigs", Json::array({machine})}, {"hasNext", true}});
-  out["worker"] = decoded(CommandWorker{}, 200, report_message());
+  out["worker"] = decoded(PushCommands{}, 200, report_message());
   out["unreadable"] = decoded(GrantLease{}, 200, Json::object());
   return out;
 }
@@ -251,9 +251,9 @@
   out["job_plain"] = to_json(store::job_record_from_json(to_json(store::JobRecord{})));
   out["machine"] = to_json(machine_record());
   out["machine_plain"] = to_json(store::machine_record_from_json(to_json(store::MachineRecord{})));
-  out["holder"] = to_json(store::HolderRecord{"node-1", "node-1.7"});
+  out["holder"] = to_json(store::LeaseHolderRecord{"node-1", "node-1.7"});
   out["types"] = to_json(std::vector<store::MachineType>{type});
-  out["keys"] = {store::job_key("job-1"), store::cancel_key("job-1"), store::machine_key("n-1"), store::part_key(2),
+  out["keys"] = {store::job_key("job-1"), store::cancel_key("job-1"), store::machine_key("n-1"), store::shard_key(2),
                  store::leader_key,       store::types_key,           store::format_key};
   out["record_format"] = store::kRecordFormat;
   out["read_again"] = {to_json(store::job_record_from_json(to_json(job_record()))),
@@ -343,9 +343,9 @@
 }
 
 Json stats_keys() {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.seed = 11;
-  World world(options);
+  ClusterSimulation world(options);
   constexpr int kJobs = 20;
   std::mt19937_64 rng(options.seed);
   for (int number = 0; number < kJobs; ++number) world.submit(random_job(number, rng), 20 + number);
--- a/tests/gang_lifecycle_test.cpp
+++ b/tests/gang_lifecycle_test.cpp
@@ -1,5 +1,5 @@
 // The state machine of a gang's attempt, on its record alone.
-#include "coordination/gang_lifecycle.h"
+#include "coordination/scheduling/gang_lifecycle.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "troubles.h"
+#include "simulation/generated_faults.h"
 
 namespace rushtrestle::testing {
 namespace {
@@ -25,10 +25,10 @@
   return s;
 }
 
-std::string first(const World& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
 TEST(Gangs, RunWholeAndAreRentedForWhole) {
-  World w({});
+  ClusterSimulation w({});
   w.submit(gang("job-1", 4, 2, 10), 3);
   w.submit(gang("job-2", 8, 12, 10), 3);  // more than any machine has, and than one zone has small ones
   auto apart = gang("job-3", 3, 4, 10);
@@ -48,9 +48,9 @@
 // last checkpoint, when all the old ones are known to be gone.
 TEST(Gangs, GoOnFromTheirCheckpointWhenAMemberIsLost) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(gang("job-1", 4, 12, 30), 3);
     w.run_until(30);
     ASSERT_EQ(w.running("job-1"), 4u);
@@ -64,9 +64,9 @@
 // A machine that is cut off as all complete can't tell: one that is done means all are.
 TEST(Gangs, AreDoneWhenOneMemberIs) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(gang("job-1", 4, 12, 20), 3);
     while (w.now() < 60 && w.running("job-1") < 4) w.run_until(w.now() + 0.25);
     w.run_until(w.now() + 18.5);
@@ -82,12 +82,12 @@
 // The zone that is best for its first task has no room for the second, and can't get any.
 TEST(Gangs, GoToTheZoneThatTakesThemWhole) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}}};
     options.capacity = {{"small", 3}};
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     for (const char* zone : {"a", "b"}) {
       auto filler = gang(std::string("job-") + zone, 1, zone[0] == 'a' ? 10 : 2, 300);
       filler.kind = store::JobKind::array;
@@ -109,9 +109,9 @@
 // The state service's limits fall without notice, in the middle of things: large arrays and gangs go on.
 TEST(Gangs, AndLargeArraysGoOnWhenTheLimitsOfTheStateServiceFall) {
   for (const double falls_at : {12.0, 25.0, 33.0}) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.next_limits = std::make_pair(2.0, 4);
-    World w(options);
+    ClusterSimulation w(options);
     auto large = gang("job-1", 300, 1, 4);
     large.kind = store::JobKind::array;
     large.one_zone = false;
@@ -130,10 +130,10 @@
 // tasks have ended: their ends are noticed again after each refusal, within the budget.
 TEST(Gangs, ARecordStoredUnderALargerLimitIsFinished) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.uneven = 0.03;  // one task after the other
-    World w(options);
+    ClusterSimulation w(options);
     auto large = gang("job-1", 60, 1, 25);
     large.kind = store::JobKind::array;
     large.one_zone = false;
@@ -155,14 +155,14 @@
 // A little room is left on many machines and a lot on two. A transaction takes conditions for 14 machines; the best fit
 // would take more.
 TEST(Gangs, GoOnFewMachinesWhereATransactionTakesNoMoreConditions) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.next_limits = std::make_pair(4.0, 4);
   options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a"}}};
   options.capacity = {{"small", 18}};
   options.teams = {{"red", {400, 16, 0}, {800, 40, 0}}, {"blue", {64, 16, 0}, {144, 40, 0}}};
   options.boot_failures = false;
   options.consolidate = false;
-  World w(options);
+  ClusterSimulation w(options);
   auto filler = gang("job-1", 16, 14, 400);  // leaves 2 CPUs on each of 16 machines
   filler.kind = store::JobKind::service;
   filler.rank = store::Rank::production;
@@ -180,12 +180,12 @@
 // whole in b, though the room in a is better for its first task.
 TEST(Gangs, AreRentedForInTheZoneThatCanTakeThemWhole) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}}};
     options.capacity = {{"small", 4}};
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     for (const uint32_t tasks : {3, 1}) {
       auto filler = gang("job-a" + std::to_string(tasks), tasks, tasks == 3 ? 14 : 2, 400);
       filler.kind = store::JobKind::array;
@@ -206,12 +206,12 @@
 // bound, and the small ones go on after it.
 TEST(Gangs, ALargeOneIsNotStarvedByAStreamOfSmallJobs) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}}};
     options.capacity = {{"small", 2}};
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     constexpr int kStream = 170;
     for (int i = 2; i < kStream; ++i) {  // 64 CPUs are full all the time
       auto j = gang("job-" + std::to_string(i), 1, 4, 17);
@@ -233,12 +233,12 @@
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto falls = *rc::gen::inRange(3, 120);
   const auto which = *rc::gen::inRange(1, 8);
-  const auto schedule = *rc::gen::resize(3, rc::gen::container<std::vector<Trouble>>(troubles()));
-  World::Options options;
+  const auto schedule = *rc::gen::resize(3, rc::gen::container<std::vector<Fault>>(faults()));
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.next_limits = std::make_pair(which & 1 ? 2.0 : 4.0, which & 2 ? 4 : 8);
   options.next_write_rps = which & 4 ? 12 : 0;
-  World w(options);
+  ClusterSimulation w(options);
   std::mt19937_64 rng(seed);
   constexpr int kJobs = 14;
   for (int i = 0; i < kJobs; ++i) {
@@ -269,11 +269,11 @@
 
 // A large gang that does not fit stands before small ones of its class: they go on beside it.
 TEST(Gangs, ALargeOneThatFindsNoRoomHoldsUpNoSmallOne) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}}};
   options.capacity = {{"small", 2}};
   options.boot_failures = false;
-  World w(options);
+  ClusterSimulation w(options);
   w.submit(gang("job-1", 8, 8, 10), 3);  // 64 CPUs in one zone, of 32
   for (int i = 2; i < 6; ++i) w.submit(gang("job-" + std::to_string(i), 2, 8, 8), 4);
   w.run_until(70);
@@ -285,11 +285,11 @@
 // A member lost before the start is replaced under the same attempt, well before the others give up waiting.
 TEST(Gangs, TakeANewMemberForOneThatIsLostBeforeTheStart) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.gang_wait_s = 200;
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     auto j = gang("job-1", 4, 12, 10);
     j.image_gb = 8;  // 16 s on a small machine
     w.submit(j, 3);
@@ -306,9 +306,9 @@
 TEST(Gangs, AreStoppedWholeAndInOrder) {
   int in_order = 0;
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
-    World w(options);
+    ClusterSimulation w(options);
     auto j = gang("job-1", 3, 12, 40);
     j.checkpoint_s = 1000;  // nothing is safe but by an orderly stop
     w.submit(j, 3);
@@ -328,11 +328,11 @@
 // attempt for one that lost a member, or it adds members that wait for gang_wait_s in vain.
 TEST(Gangs, ANewOwnerAddsNobodyToAnAttemptThatIsOver) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.gang_wait_s = 300;
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     auto j = gang("job-1", 4, 12, 10);
     j.image_gb = 8;  // 16 s on a small machine
     w.submit(j, 3);
@@ -352,11 +352,11 @@
 // that runs, and nobody is left waiting.
 TEST(Gangs, AMemberLostAtTheMomentOfTheStartIsNotReplaced) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.gang_wait_s = 300;
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(gang("job-1", 4, 12, 20), 3);
     while (w.now() < 60 && w.running("job-1") < 4) w.run_until(w.now() + 0.01);
     w.kill_machine_of("job-1");
@@ -370,11 +370,11 @@
 // The others would notice by themselves only after gang_peer_s: once the loss is known they are stopped, and go on sooner.
 TEST(Gangs, WhatALostMemberLeavesRunningIsStopped) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.gang_peer_s = 100;
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(gang("job-1", 4, 12, 20), 3);
     while (w.now() < 60 && w.running("job-1") < 4) w.run_until(w.now() + 0.25);
     w.run_until(w.now() + 4);
@@ -389,11 +389,11 @@
 // machine is given up.
 TEST(Gangs, NobodyJoinsWhileAMemberIsNotHeard) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.gang_wait_s = 300;
     options.boot_failures = false;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(gang("job-1", 2, 12, 40), 3);
     while (w.now() < 60 && w.running("job-1") < 2) w.run_until(w.now() + 0.01);
     w.cut_machine_of("job-1", 1, 8);
@@ -420,12 +420,12 @@
 // that gathers dies, is taken with a notice or fails tasks, and the controller that looks after the gang ends.
 RC_GTEST_PROP(Gangs, NoScheduleOfTroublesBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(5, rc::gen::container<std::vector<Trouble>>(troubles()));
-  const auto strikes = *rc::gen::resize(8, rc::gen::container<std::vector<Trouble>>(troubles()));
-  World::Options options;
+  const auto schedule = *rc::gen::resize(5, rc::gen::container<std::vector<Fault>>(faults()));
+  const auto strikes = *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(faults()));
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.gang_wait_s = 20;
-  World w(options);
+  ClusterSimulation w(options);
   std::mt19937_64 rng(seed);
   constexpr int kJobs = 20;
   for (int i = 0; i < kJobs; ++i) {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 struct Seen {
-  std::vector<Message> messages;
+  std::vector<HttpMessage> messages;
   bool ok = true;
   bool feed(MessageParser& p, const std::string& bytes) {
-    ok = ok && p.feed(bytes.data(), bytes.size(), [this](Message&& m, bool) { messages.push_back(std::move(m)); });
+    ok = ok && p.feed(bytes.data(), bytes.size(), [this](HttpMessage&& m, bool) { messages.push_back(std::move(m)); });
     return ok;
   }
 };
@@ -90,11 +90,11 @@
 }
 
 TEST(Http, ServerAndClientTalkOverLoopbackWhileAnotherConnectionHangs) {
-  Loop loop;
+  EventLoop event_loop;
   const Address at = parse_address("127.0.0.1:" + std::to_string(free_port()));
   std::vector<ExchangeId> hanging;
   HttpServer* self = nullptr;
-  HttpServer server(loop, at, {4, 1024, 60}, [&](ExchangeId id, Message&& m) {
+  HttpServer server(event_loop, at, {4, 1024, 60}, [&](ExchangeId id, HttpMessage&& m) {
     if (m.target == "/hang") {
       hanging.push_back(id);
     } else {
@@ -102,11 +102,11 @@
     }
   });
   self = &server;
-  HttpClient client(loop, 8, 1024);
+  HttpClient client(event_loop, 8, 1024);
   int answered = 0, hung_status = -1;
   client.request(at, "GET", "/hang", "", "", 0.2, [&](int status, std::string&&) {
     hung_status = status;
-    if (answered == 3) loop.stop();
+    if (answered == 3) event_loop.stop();
   });
   std::function<void()> next = [&] {
     client.request(at, "POST", "/x", "abc", "text/plain", 5, [&](int status, std::string&& body) {
@@ -115,12 +115,12 @@
       if (++answered < 3) {
         next();
       } else if (hung_status == 0) {
-        loop.stop();
+        event_loop.stop();
       }
     });
   };
   next();
-  loop.run();
+  event_loop.run();
   EXPECT_EQ(answered, 3);
   EXPECT_EQ(hung_status, 0);
   EXPECT_EQ(hanging.size(), 1u);
@@ -129,11 +129,11 @@
 
 // With room for 256 of them the other workers of a fleet that came back in one turn waited seconds for their next try.
 TEST(Http, AWholeFleetMayConnectBetweenTwoTurns) {
-  Loop loop;
+  EventLoop event_loop;
   const uint16_t port = free_port();
   constexpr size_t kWorkers = 600;
-  HttpServer server(loop, parse_address("127.0.0.1:" + std::to_string(port)), {kWorkers, 1024, 60},
-                    [](ExchangeId, Message&&) {});
+  HttpServer server(event_loop, parse_address("127.0.0.1:" + std::to_string(port)), {kWorkers, 1024, 60},
+                    [](ExchangeId, HttpMessage&&) {});
   std::vector<pollfd> workers;
   for (size_t i = 0; i < kWorkers; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
@@ -151,15 +151,15 @@
 }
 
 TEST(Http, ARefusedConnectionHasNoStatus) {
-  Loop loop;
-  HttpClient client(loop, 8, 1024);
+  EventLoop event_loop;
+  HttpClient client(event_loop, 8, 1024);
   int status = -1;
   client.request(parse_address("127.0.0.1:" + std::to_string(free_port())), "GET", "/", "", "", 5,
                  [&](int s, std::string&&) {
                    status = s;
-                   loop.stop();
+                   event_loop.stop();
                  });
-  loop.run();
+  event_loop.run();
   EXPECT_EQ(status, 0);
 }
 
--- a/tests/state_sync_test.cpp
+++ b/tests/list_and_watch_test.cpp
@@ -3,40 +3,40 @@
 
 #include <deque>
 
-#include "coordination/state_link.h"
-#include "state_service.h"
+#include "coordination/state/state_store_client.h"
+#include "simulation/fake_state_store.h"
 
 namespace rushtrestle::testing {
 namespace {
 
 using namespace coordination;
 
-struct NoListener : store::Model::Listener {
-  void job_changed(const std::string&) override {}
-  void machine_changed(const std::string&) override {}
-  void holder_changed(const std::string&) override {}
+struct NoListener : store::StateCache::Listener {
+  void on_job_changed(const std::string&) override {}
+  void on_machine_changed(const std::string&) override {}
+  void on_lease_holder_changed(const std::string&) override {}
 };
 
 /// A link to a state service that answers at once, one request after the other.
-class SyncingLink {
+class ListingClient {
  public:
-  explicit SyncingLink(StateService& service)
-      : service_(service), ctx_(settings(), {}, "incarnation", 1), model_(listener_) {
-    link_.set_weight(1);
+  explicit ListingClient(FakeStateStore& service)
+      : service_(service), context_(settings(), {}, "incarnation", 1), state_cache_(listener_) {
+    state_store_.set_weight(1);
   }
 
   /// Lets `seconds` pass; `before_page` runs before each page is read and says whether it is answered.
   void run(double seconds, const std::function<bool()>& before_page) {
-    const double until = ctx_.now + seconds;
-    for (; ctx_.now < until; ctx_.now += kStep) {
+    const double until = context_.now + seconds;
+    for (; context_.now < until; context_.now += kStep) {
       answer_watch();
-      link_.tick();
-      for (auto& effect : std::exchange(ctx_.out, {}))
+      state_store_.tick();
+      for (auto& effect : std::exchange(context_.out, {}))
         if (auto* call = std::get_if<Call>(&effect)) answer(*call, before_page);
     }
   }
-  const StateLink& link() const { return link_; }
-  const store::Model& model() const { return model_; }
+  const StateStoreClient& state_store() const { return state_store_; }
+  const store::StateCache& state_cache() const { return state_cache_; }
   size_t pages() const { return pages_; }
 
  private:
@@ -45,7 +45,7 @@
   static store::Settings settings() {
     store::Settings s;
     s.nodes = 3;
-    s.report_s = 2;
+    s.heartbeat_interval_s = 2;
     s.lease_s = 14;
     s.cancel_s = 39;
     s.state_rps = s.state_write_rps = 1000;
@@ -61,13 +61,13 @@
       answer_watch();
       return;
     }
-    if (std::holds_alternative<ReadPage>(call.body)) {
+    if (std::holds_alternative<ListKeys>(call.body)) {
       ++pages_;
-      done = before_page() ? service_.answer(call, ctx_.now) : CallDone{call.id, 0, {}};
+      done = before_page() ? service_.answer(call, context_.now) : CallDone{call.id, 0, {}};
     } else {
-      done = service_.answer(call, ctx_.now);
+      done = service_.answer(call, context_.now);
     }
-    ctx_.returned(std::move(done));
+    context_.returned(std::move(done));
   }
 
   // A watch waits for a change.
@@ -79,15 +79,15 @@
     CallDone done{watch_->id, changes ? 200 : 410, {}};
     if (changes) done.reply = *changes;
     watch_.reset();
-    ctx_.returned(std::move(done));
+    context_.returned(std::move(done));
   }
 
-  StateService& service_;
+  FakeStateStore& service_;
   std::optional<Call> watch_;
   NoListener listener_;
-  Context ctx_;
-  store::Model model_;
-  StateLink link_{ctx_, model_};
+  Context context_;
+  store::StateCache state_cache_;
+  StateStoreClient state_store_{context_, state_cache_};
   size_t pages_ = 0;
 };
 
@@ -96,7 +96,7 @@
   r.id = "n-" + std::to_string(100000 + number);
   r.type = "mid";
   r.zone = "a";
-  r.part = number % 3;
+  r.shard = number % 3;
   return to_json(r);
 }
 
@@ -105,8 +105,8 @@
 constexpr int kMachines = 4000;
 constexpr size_t kChangesKept = 10000;  // by the protocol
 
-StateService service_with_machines() {
-  StateService service;
+FakeStateStore service_with_machines() {
+  FakeStateStore service;
   service.set_history(kChangesKept);
   service.set_page(200);
   for (int i = 0; i < kMachines; ++i) service.preset(machine_name(i), machine_value(i));
@@ -115,64 +115,64 @@
 
 // While all keys of a large fleet were read, more changes happened than the service keeps: the first watch was answered
 // with 410, the keys were read again, and so on for as long as the fleet was busy.
-TEST(StateSync, MoreChangesThanAreKeptDuringTheReadDontBeginItAnew) {
-  StateService service = service_with_machines();
-  SyncingLink link(service);
+TEST(ListAndWatch, MoreChangesThanAreKeptDuringTheReadDontBeginItAnew) {
+  FakeStateStore service = service_with_machines();
+  ListingClient state_store(service);
   int changed = 0;
   const auto busy = [&] {
     for (int i = 0; i < 700; ++i, ++changed) service.preset(machine_name(changed % kMachines), machine_value(changed + 1));
     return true;
   };
-  link.run(8, busy);
+  state_store.run(8, busy);
   EXPECT_GT(changed, static_cast<int>(kChangesKept));
-  EXPECT_TRUE(link.link().synced());
-  EXPECT_LE(link.pages(), 21u);
+  EXPECT_TRUE(state_store.state_store().synced());
+  EXPECT_LE(state_store.pages(), 21u);
   for (int i = 0; i < kMachines; ++i) {
-    const auto* machine = link.model().machine("n-" + std::to_string(100000 + i));
+    const auto* machine = state_store.state_cache().machine("n-" + std::to_string(100000 + i));
     ASSERT_NE(machine, nullptr) << i;
     ASSERT_EQ(to_json(machine->record), *service.value_of(machine_name(i))) << i;
   }
 }
 
 // A read that began anew for each page without an answer never came to its end.
-TEST(StateSync, APageWithoutAnAnswerIsAskedForAgain) {
-  StateService service = service_with_machines();
-  SyncingLink link(service);
+TEST(ListAndWatch, APageWithoutAnAnswerIsAskedForAgain) {
+  FakeStateStore service = service_with_machines();
+  ListingClient state_store(service);
   int asked = 0;
-  link.run(30, [&] { return ++asked % 5 != 0; });
-  EXPECT_TRUE(link.link().synced());
-  EXPECT_EQ(link.model().present_machines().size(), static_cast<size_t>(kMachines));
-  EXPECT_LE(link.pages(), 26u);
+  state_store.run(30, [&] { return ++asked % 5 != 0; });
+  EXPECT_TRUE(state_store.state_store().synced());
+  EXPECT_EQ(state_store.state_cache().present_machines().size(), static_cast<size_t>(kMachines));
+  EXPECT_LE(state_store.pages(), 26u);
 }
 
 // Keys vanish with their lease. Where the changes that tell of it are kept no more, the next read of all keys shows it by
 // their absence; what it passed before they were there is no absence.
-TEST(StateSync, LeasedKeysThatVanishedUnseenAreNotHeldToBeThere) {
-  StateService service = service_with_machines();
-  SyncingLink link(service);
-  const auto hold = [&](int part) {
+TEST(ListAndWatch, LeasedKeysThatVanishedUnseenAreNotHeldToBeThere) {
+  FakeStateStore service = service_with_machines();
+  ListingClient state_store(service);
+  const auto hold = [&](int shard) {
     const CallDone granted = service.answer(Call{1, 1, GrantLease{5}}, 0);
     Txn txn;
-    txn.writes.push_back(
-        {store::part_key(part), to_json(store::HolderRecord{"other", "x"}), std::get<LeaseReply>(granted.reply).lease});
+    txn.writes.push_back({store::shard_key(shard), to_json(store::LeaseHolderRecord{"other", "x"}),
+                          std::get<LeaseReply>(granted.reply).lease});
     service.answer(Call{2, 1, txn}, 0);
   };
-  const auto held = [&](int part) {
-    const auto* holder = link.model().holder(store::part_key(part));
-    return holder && holder->present;
+  const auto held = [&](int shard) {
+    const auto* lease_holder = state_store.state_cache().lease_holder(store::shard_key(shard));
+    return lease_holder && lease_holder->present;
   };
   const auto answered = [] { return true; };
   hold(1);
-  link.run(5, answered);
-  ASSERT_TRUE(link.link().synced());
+  state_store.run(5, answered);
+  ASSERT_TRUE(state_store.state_store().synced());
   ASSERT_TRUE(held(1));
   service.expire_leases(100);
   for (size_t i = 0; i <= kChangesKept; ++i) service.preset(machine_name(0), machine_value(static_cast<int>(i)));
-  link.run(5, answered);
-  ASSERT_TRUE(link.link().synced());
+  state_store.run(5, answered);
+  ASSERT_TRUE(state_store.state_store().synced());
   EXPECT_FALSE(held(1));
   hold(2);
-  link.run(5, answered);
+  state_store.run(5, answered);
   EXPECT_TRUE(held(2));
 }
 
--- a/tests/meetings_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 namespace {
@@ -22,7 +22,7 @@
   return s;
 }
 
-std::string first(const World& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
 constexpr int kHolder = 1;     // of the part of team red
 constexpr int kConfirmer = 2;  // by name the leader of the cloud
@@ -47,12 +47,12 @@
   }
   static constexpr double kOutage = 60;  // cancel_s is 39
 
-  World world;
+  ClusterSimulation world;
   double outage_at;
 
  private:
-  static World::Options options(uint64_t seed, std::set<int> words_of_before) {
-    World::Options o;
+  static ClusterSimulation::Options options(uint64_t seed, std::set<int> words_of_before) {
+    ClusterSimulation::Options o;
     o.seed = seed;
     o.words_of_before = std::move(words_of_before);
     o.consolidate = false;  // moves replicas, too
@@ -60,11 +60,11 @@
   }
 };
 
-TEST(Meetings, WhatOthersConfirmedBeforeAnOutageOfAllIsStoppedInTime) {
+TEST(OverlappingFaults, WhatOthersConfirmedBeforeAnOutageOfAllIsStoppedInTime) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     for (const double after : {1.0, 2.0, 3.5}) {
       Gap gap(seed, after);
-      World& w = gap.world;
+      ClusterSimulation& w = gap.world;
       w.run_until(gap.outage_at + 5);
       int told = 0;
       for (int i = 0; i < Gap::kJobs; ++i) told += w.cancel_told("job-" + std::to_string(i));
@@ -82,11 +82,11 @@
 
 // Only one controller knows of a cancellation, and it ends with the beginning of the outage before any other heard
 // of it: back with an empty memory it says that it lacks the state service, as all do. Not handed over is not known.
-TEST(Meetings, WhatOnlyADeadControllerKnewIsStoppedInTime) {
+TEST(OverlappingFaults, WhatOnlyADeadControllerKnewIsStoppedInTime) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     for (const double back_after : {0.2, 5.0}) {
       Gap gap(seed, 3);
-      World& w = gap.world;
+      ClusterSimulation& w = gap.world;
       w.at(gap.outage_at - 0.6, [&w] { w.refuse_state(kFollower, 5); });
       for (const int n : {kHolder, kFollower}) w.cut("node-" + std::to_string(n), "node-2", 2.2, false);
       w.at(gap.outage_at + 0.1, [&w, back_after] { w.kill_node(kConfirmer, back_after); });
@@ -101,11 +101,11 @@
 
 // Beside a controller of the version before, which hands nothing over, the blind limit stays in force: what it may
 // have confirmed is stopped in time, and the fleet comes back after the outage.
-TEST(Meetings, AControllerOfTheVersionBeforeIsTakenForOneThatKnowsMore) {
+TEST(OverlappingFaults, AControllerOfTheVersionBeforeIsTakenForOneThatKnowsMore) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     for (const auto& before : {std::set<int>{kConfirmer}, std::set<int>{kFollower}, std::set<int>{kFollower, kConfirmer}}) {
       Gap gap(seed, 2, before);
-      World& w = gap.world;
+      ClusterSimulation& w = gap.world;
       w.run_until(gap.outage_at + Gap::kOutage + 60);
       EXPECT_EQ(w.running("job-stays"), 4u) << "seed " << seed;
       EXPECT_TRUE(w.broken.empty()) << first(w) << " seed " << seed;
@@ -114,16 +114,16 @@
 }
 
 // The neighbours of the meeting above, with troubles that keep what was confirmed from reaching the holder.
-RC_GTEST_PROP(Meetings, NoNeighbourOfTheGapBreaksARule, ()) {
+RC_GTEST_PROP(OverlappingFaults, NoNeighbourOfTheGapBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   Gap gap(seed, *rc::gen::inRange(0, 200) / 10.0);
-  World& w = gap.world;
+  ClusterSimulation& w = gap.world;
   const double soon = gap.outage_at + *rc::gen::inRange(-20, 60) / 10.0;
   const bool quick = *rc::gen::arbitrary<bool>();
-  const int trouble = *rc::gen::inRange(0, 9);
+  const int fault = *rc::gen::inRange(0, 9);
   const auto which = *rc::gen::inRange<size_t>(0, 8);
   w.at(soon, [&] {
-    switch (trouble) {
+    switch (fault) {
       case 0: w.kill_node(kConfirmer, quick ? 0.3 : 5); break;
       case 1: w.kill_node(kHolder, quick ? 0.3 : 5); break;
       case 2:
@@ -160,8 +160,8 @@
   return s;
 }
 
-World::Options seeded() {
-  World::Options o;
+ClusterSimulation::Options seeded() {
+  ClusterSimulation::Options o;
   o.seed = *rc::gen::arbitrary<uint64_t>();
   o.trace = std::getenv("WORLD_TRACE") != nullptr;
   return o;
@@ -169,13 +169,13 @@
 
 std::string name(int i) { return "job-" + std::to_string(i); }
 
-void expect_no_rule_broken(const World& w) {
+void expect_no_rule_broken(const ClusterSimulation& w) {
   for (const auto& b : w.broken) RC_LOG() << b << "\n";
   RC_ASSERT(w.broken.empty());
 }
 
 // Every job that was accepted and not called off is done, or runs whole.
-void expect_all_served(const World& w, const std::vector<store::JobSpec>& jobs) {
+void expect_all_served(const ClusterSimulation& w, const std::vector<store::JobSpec>& jobs) {
   for (const auto& j : jobs) {
     RC_ASSERT(w.accepted(j.id));
     if (w.called_off_by_user(j.id)) continue;
@@ -188,8 +188,8 @@
 
 // Users ask at all nodes within milliseconds after each answer, repeat submissions and call off at once, while
 // answers of the state service are lost or late: no node answers something older.
-RC_GTEST_PROP(Meetings, CloseLooksNeverSeeAnythingOlder, ()) {
-  World w(seeded());
+RC_GTEST_PROP(OverlappingFaults, CloseLooksNeverSeeAnythingOlder, ()) {
+  ClusterSimulation w(seeded());
   w.close_looks(100);
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 24; ++i) {
@@ -211,10 +211,10 @@
 // Each team's limit is full; jobs are called off whose machines hang, are cut off or don't hear, with starts under
 // way to them, the holder and the leader end, and reports of before reach the new ones: what may still run there
 // holds its quota until it is known to be gone.
-RC_GTEST_PROP(Meetings, AFullTeamStaysWithinItsLimitThroughCancellationsAndTakeovers, ()) {
+RC_GTEST_PROP(OverlappingFaults, AFullTeamStaysWithinItsLimitThroughCancellationsAndTakeovers, ()) {
   auto options = seeded();
   options.teams = {{"red", {16, 0, 0}, {24, 8, 0}}, {"blue", {16, 0, 0}, {24, 8, 0}}};
-  World w(options);
+  ClusterSimulation w(options);
   std::vector<store::JobSpec> jobs;
   constexpr int kJobs = 40;
   for (int i = 0; i < kJobs; ++i) {
@@ -246,8 +246,8 @@
 }
 
 // Jobs are called off in the seconds in which one controller's work changes hands, there and back.
-RC_GTEST_PROP(Meetings, CancellationsWhileAPartChangesHandsTakeEffect, ()) {
-  World w(seeded());
+RC_GTEST_PROP(OverlappingFaults, CancellationsWhileAPartChangesHandsTakeEffect, ()) {
+  ClusterSimulation w(seeded());
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 30; ++i) {
     jobs.push_back(i % 3 ? service(name(i), 1 + i % 2, 2) : array(name(i), i % 2 ? "red" : "blue", 2, 120));
@@ -282,11 +282,11 @@
 
 // Machines that are up within two seconds get work at once, while writes lag and the leader ends: nothing
 // starts on a machine without a record, none is lost, and none is rented for good without work.
-RC_GTEST_PROP(Meetings, MachinesUpAtOnceWhileWritesLagAndTheLeaderEnds, ()) {
+RC_GTEST_PROP(OverlappingFaults, MachinesUpAtOnceWhileWritesLagAndTheLeaderEnds, ()) {
   auto options = seeded();
   options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 1.3, {"a", "b"}},
                    {"gpu", {32, 4, 256}, 300, 4, 20, 7, 1.3, {"a", "b"}}};
-  World w(options);
+  ClusterSimulation w(options);
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 12; ++i) {
     jobs.push_back(i % 2 ? service(name(i), 4, 4) : array(name(i), "blue", 5, 15));
@@ -311,12 +311,12 @@
 // another machine: that was taken for the placement made last, and both were started. Or the first is carried out just
 // before the second leaves, the second has no answer either, and the first is taken up and started: then the second is
 // carried out over it.
-TEST(Meetings, APlacementCarriedOutLateIsNotTakenForTheOneAfterIt) {
+TEST(OverlappingFaults, APlacementCarriedOutLateIsNotTakenForTheOneAfterIt) {
   for (uint64_t seed = 1; seed <= 120; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 1.3, {"a", "b"}}};
-    World w(options);
+    ClusterSimulation w(options);
     // Room comes bit by bit, and a later placement finds another machine best.
     for (int i = 0; i < 24; ++i) w.submit(array(name(i), i % 2 ? "red" : "blue", 1 + i % 4, 4 + i % 5), 3 + 0.7 * i);
     w.at(5, [&w] { w.unanswered_writes(25, 0.6, false); });
@@ -327,8 +327,8 @@
 }
 
 // Reports of long ago, from earlier sessions and attempts too, reach every controller just as a new one begins.
-RC_GTEST_PROP(Meetings, OldReportsThatMeetANewHolderChangeNothing, ()) {
-  World w(seeded());
+RC_GTEST_PROP(OverlappingFaults, OldReportsThatMeetANewHolderChangeNothing, ()) {
+  ClusterSimulation w(seeded());
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 16; ++i) {
     jobs.push_back(i % 2 ? service(name(i), 2, 2) : array(name(i), i % 4 ? "red" : "blue", 3, 6 + 2 * i));
@@ -350,11 +350,11 @@
 
 // Commands reach it, its reports reach nobody: its lease ended again and again, and the same tasks were started
 // there again and again; what takes longer than a lease was never done.
-TEST(Meetings, AMachineThatReachesNoControllerIsReplaced) {
+TEST(OverlappingFaults, AMachineThatReachesNoControllerIsReplaced) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(array("job-1", "red", 6, 45), 3);
     w.submit(service("job-2", 4, 2), 3);
     w.run_until(30);
@@ -367,8 +367,8 @@
 }
 
 // One-task jobs come four a second for minutes, a quarter of them called off, with 20 writes a second for all.
-TEST(Meetings, AStreamOfSmallJobsIsServedWithinTheBudgetOfWrites) {
-  World w({});
+TEST(OverlappingFaults, AStreamOfSmallJobsIsServedWithinTheBudgetOfWrites) {
+  ClusterSimulation w({});
   constexpr int kPerSecond = 4, kJobs = 120 * kPerSecond;
   for (int i = 0; i < kJobs; ++i) {
     const double at = 5 + i / static_cast<double>(kPerSecond);
@@ -397,43 +397,43 @@
 // The rest of the list. Each plays over the same work; what it does to the world is all that differs.
 struct Meeting {
   const char* what;
-  std::function<void(World&, std::mt19937_64&)> play;
+  std::function<void(ClusterSimulation&, std::mt19937_64&)> play;
   double uneven = 0;
 };
 
 // NOLINTNEXTLINE(readability-function-size): a table, one entry a meeting
 const std::vector<Meeting>& other_meetings() {
-  static const auto kill_all = [](World& w, double back_after) {
+  static const auto kill_all = [](ClusterSimulation& w, double back_after) {
     for (int n = 0; n < 3; ++n) w.kill_node(n, back_after);
   };
   static const std::vector<Meeting> all = {
       {"jobs of two or three tasks end far apart across a change of leader",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 4; ++k)
            w.at(30 + 14 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] { w.kill_node(n, quick ? 0.2 : 6); });
        },
        4.0},
       {"all controllers are away for longer than a lease",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          w.at(35, [&w, for_s = 16.0 + static_cast<double>(rng() % 20)] { kill_all(w, for_s); });
          w.at(36, [&w] { w.cancel_some_now(3, 0); });
        }},
       {"controllers hand over and back, all end, and one returns within a second",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          w.at(32, [&w] { w.kill_node(1, 8); });
          w.at(62 + static_cast<double>(rng() % 5), [&w, first = static_cast<int>(rng() % 3)] {
            for (int n = 0; n < 3; ++n) w.kill_node(n, n == first ? 0.5 : 9);
          });
        }},
       {"leaders change ten times in two minutes, also inside an outage",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 10; ++k)
            w.at(30 + 11 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] { w.kill_node(n, quick ? 0.2 : 5); });
          w.at(55, [&w] { w.state_outage(25); });
          w.at(52, [&w] { w.cancel_some_now(2, 0); });
        }},
       {"more work than room, urgent and not, over slow links",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int i = 0; i < 30; ++i) {
            auto j = array("job-x" + std::to_string(i), rng() % 2 ? "red" : "blue", 4, 12);
            j.rank = static_cast<store::Rank>(rng() % 3);
@@ -443,24 +443,24 @@
          w.at(25, [&w] { w.slow_links(60, 0.4); });
        }},
       {"workers can't open connections to any controller, direct commands still reach them",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          const double for_s = 8 + static_cast<double>(rng() % 60);
          for (const size_t m : {0, 2}) w.at(33, [&w, m, for_s] { w.mute_machine(m, for_s); });
          w.at(34, [&w] { w.cancel_some_now(2, 0); });
        }},
       {"a report is held back until a new leader has acted",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (size_t m = 0; m < 3; ++m)
            w.at(30, [&w, m, for_s = 6 + static_cast<double>(rng() % 20)] { w.cut_machine(m, for_s, true, false); });
          w.at(30.5, [&w] { w.kill_node(1, 5); });
          w.at(32, [&w] { w.cancel_some_now(3, 0); });
        }},
       {"jobs bound to one zone lose machines",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 4; ++k) w.at(30 + 6 * k, [&w, m = rng() % 8] { w.kill_machine(m); });
        }},
       {"a command or its answer is held up for seconds, and the machine then goes on",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 8; ++k) {
            const double for_s = 1 + static_cast<double>(rng() % 10);
            w.at(20 + 5 * k,
@@ -469,7 +469,7 @@
          w.at(40, [&w] { w.cancel_some_now(4, 5); });
        }},
       {"a leader ends while machines with long tasks can't be reached or don't hear the new one's answer",
-       [](World& w, std::mt19937_64& rng) {
+       [](ClusterSimulation& w, std::mt19937_64& rng) {
          const double for_s = 10 + static_cast<double>(rng() % 30);
          w.at(33, [&w, for_s] {
            w.cut_machine(0, for_s, true, false);
@@ -483,16 +483,16 @@
   return all;
 }
 
-TEST(Meetings, EveryOtherOneOfTheList) {
+TEST(OverlappingFaults, EveryOtherOneOfTheList) {
   const char* only = std::getenv("MEETING_SEED");
   for (const auto& meeting : other_meetings()) {
     for (uint64_t seed = only ? std::stoull(only) : 1, last = only ? seed : 6; seed <= last; ++seed) {
       SCOPED_TRACE(std::string(meeting.what) + ", seed " + std::to_string(seed));
       std::mt19937_64 rng(seed);
-      World::Options options;
+      ClusterSimulation::Options options;
       options.seed = seed;
       options.uneven = meeting.uneven;
-      World w(options);
+      ClusterSimulation w(options);
       std::vector<store::JobSpec> jobs;
       for (int i = 0; i < 14; ++i) {
         const bool is_service = i % 3 == 0;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/placement.h"
+#include "coordination/scheduling/placement.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -30,7 +30,7 @@
   std::vector<Slot> slots{slot("m1", cpu_type, zone_a), slot("m2", cpu_type, zone_a)};
   slots[0].free.cpus = 4;
   slots[1].images = images.of("m2");
-  EXPECT_EQ(pick(task(2, 0), {}, slots, {0, &images, nullptr})->machine, "m2");
+  EXPECT_EQ(select_slot(task(2, 0), {}, slots, {0, &images, nullptr})->machine, "m2");
 }
 
 // A fetch of half a second lost to a fuller machine, and the start came after its objective of one second.
@@ -46,9 +46,9 @@
   t.image_gb = 2.4;  // 0.6 s
   Fit fit;
   fit.images = &images;
-  EXPECT_EQ(pick(t, {}, slots, fit)->machine, "m1");
+  EXPECT_EQ(select_slot(t, {}, slots, fit)->machine, "m1");
   fit.start_within_s = 1;
-  EXPECT_EQ(pick(t, {}, slots, fit)->machine, "m2");
+  EXPECT_EQ(select_slot(t, {}, slots, fit)->machine, "m2");
 }
 
 TEST(Placement, TheTightestObjectiveSaysWhenATaskShouldRun) {
@@ -77,22 +77,22 @@
   std::vector<Slot> slots{slot("g", gpu_type, zone_a)};
   const Fit fit{4, nullptr, nullptr};
   int placed = 0;
-  while (Slot* s = pick(task(2, 0), {}, slots, fit)) {
+  while (Slot* s = select_slot(task(2, 0), {}, slots, fit)) {
     s->free.add(task(2, 0).per_task, -1);
     ++placed;
   }
   EXPECT_EQ(placed, 8);  // 48 - 8 GPUs x 4 = 16 CPUs
-  EXPECT_NE(pick(task(4, 1), {}, slots, fit), nullptr);
+  EXPECT_NE(select_slot(task(4, 1), {}, slots, fit), nullptr);
 }
 
 TEST(Placement, SpotAndAvoidedMachinesAreLeftAlone) {
   std::vector<Slot> slots{slot("s", cpu_type, zone_a, true), slot("m", cpu_type, zone_a)};
   auto t = task(2, 0);
-  EXPECT_EQ(pick(t, {}, slots, {})->machine, "m");
+  EXPECT_EQ(select_slot(t, {}, slots, {})->machine, "m");
   t.spot = true;
-  EXPECT_EQ(pick(t, {}, slots, {})->machine, "s");
+  EXPECT_EQ(select_slot(t, {}, slots, {})->machine, "s");
   const std::set<std::string> avoid{"s", "m"};
-  EXPECT_EQ(pick(t, {}, slots, {0, nullptr, &avoid}), nullptr);
+  EXPECT_EQ(select_slot(t, {}, slots, {0, nullptr, &avoid}), nullptr);
 }
 
 // scatter and oneZone exactly as the rules count them: at the moment of each start.
@@ -109,7 +109,7 @@
   }
   ZoneCounts zones;
   for (uint32_t i = 0; i < t.tasks; ++i) {
-    Slot* s = pick(t, zones, slots, {});
+    Slot* s = select_slot(t, zones, slots, {});
     if (!s) break;
     s->free.add(t.per_task, -1);
     RC_ASSERT(s->free.cpus >= -1e-9);
@@ -130,12 +130,12 @@
     return out;
   };
   auto job = task(2, 0);  // 8 to an empty machine of 16 CPUs, 1 to m1
-  EXPECT_EQ(machines(pack(job, 16, slots, {})).size(), 2u);
-  EXPECT_EQ(pack(job, 16, slots, {}).size(), 16u);
-  EXPECT_EQ(machines(pack(job, 9, slots, {"m0", "m2", "m3", "m4"})), (std::set<std::string>{"m5", "m1"}));
+  EXPECT_EQ(machines(bin_pack(job, 16, slots, {})).size(), 2u);
+  EXPECT_EQ(bin_pack(job, 16, slots, {}).size(), 16u);
+  EXPECT_EQ(machines(bin_pack(job, 9, slots, {"m0", "m2", "m3", "m4"})), (std::set<std::string>{"m5", "m1"}));
   job.zone = zone_b;
-  EXPECT_EQ(machines(pack(job, 10, slots, {})), (std::set<std::string>{"m4", "m5"}));
-  EXPECT_TRUE(pack(job, 17, slots, {}).empty()) << "two machines take 16";
+  EXPECT_EQ(machines(bin_pack(job, 10, slots, {})), (std::set<std::string>{"m4", "m5"}));
+  EXPECT_TRUE(bin_pack(job, 17, slots, {}).empty()) << "two machines take 16";
 }
 
 }  // namespace
--- a/tests/requeue_test.cpp
+++ b/tests/requeue_test.cpp
@@ -1,11 +1,10 @@
 // The paper's eligibility criteria and edge cases, one by one.
-#include "coordination/requeue.h"
-
 #include <gtest/gtest.h>
 
 #include <limits>
 
-#include "world.h"
+#include "coordination/preemption/nomination.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::coordination {
 namespace {
@@ -92,15 +91,15 @@
 }
 
 // One machine type, one machine a zone: what waits can only run in place of something else.
-testing::World::Options tight() {
-  testing::World::Options o;
+testing::ClusterSimulation::Options tight() {
+  testing::ClusterSimulation::Options o;
   o.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 5, {"a", "b"}}};
   o.capacity = {{"small", 1}};
   return o;
 }
 
 // A fleet of two machines that can't grow, full of an array whose owner guessed 20 s and that runs for ten times that.
-testing::World::Options overrunning() {
+testing::ClusterSimulation::Options overrunning() {
   auto o = tight();
   o.boot_failures = false;
   o.run_factor = 10;
@@ -108,7 +107,7 @@
 }
 
 TEST(Requeue, OverrunAloneEvictsNothing) {
-  testing::World w(overrunning());
+  testing::ClusterSimulation w(overrunning());
   w.submit(filler("job-1", 2, 20), 1);
   w.run_until(100);
   EXPECT_EQ(w.running("job-1"), 2u);
@@ -117,7 +116,7 @@
 }
 
 TEST(Requeue, AContenderThatNeverFitsEvictsNothing) {
-  testing::World w(overrunning());
+  testing::ClusterSimulation w(overrunning());
   w.submit(filler("job-1", 2, 20), 1);
   auto big = filler("job-2", 3, 20);  // never fits whole: stays out, and every trial rolls back
   big.rank = store::Rank::high;
@@ -131,11 +130,11 @@
 
 // Nomination, trial, commit, stop, the contender whole in the freed room, and the cooldown of the victim.
 TEST(Requeue, ACommitMakesRoomForTheContenderAndTheVictimSitsOutItsCooldown) {
-  testing::World w(overrunning());
+  testing::ClusterSimulation w(overrunning());
   w.submit(filler("job-1", 2, 20), 1);
-  auto contender = filler("job-2", 2, 3);  // 30 s in truth
-  contender.rank = store::Rank::high;
-  w.submit(contender, 20);
+  auto preemptor = filler("job-2", 2, 3);  // 30 s in truth
+  preemptor.rank = store::Rank::high;
+  w.submit(preemptor, 20);
   w.run_until(25);
   ASSERT_EQ(w.running("job-1"), 2u);
   EXPECT_EQ(w.starts_of("job-2"), 0u) << "not due yet";
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -2,7 +2,7 @@
 // the size. No clock but the world's own.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 namespace {
@@ -29,12 +29,12 @@
   return s;
 }
 
-std::string first(const World& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
 // Rentals waited in a queue, one request a part and a few machines, behind others for a type that the
 // cloud had refused long since; at two calls a second the fleet came up minutes late.
 TEST(Scale, AFleetOfManyPartsComesUpWithFewCallsToTheCloud) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 5;
   options.teams = teams(15);
   options.cloud_rps = 2;
@@ -43,7 +43,7 @@
                    {"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}},
                    {"large", {64, 0, 512}, 50, 1, 5, 1.8, 8, {"a", "b"}}};
   options.capacity = {{"tiny", 8}, {"mid", 3}, {"large", 24}};
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 240;
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 15, 4), 3 + 0.02 * i);
   w.run_until(50);
@@ -55,12 +55,12 @@
 // One controller, more of them than teams, many teams on few: each team is served, also after each crash.
 TEST(Scale, AnyNumberOfControllersServesAnyNumberOfTeams) {
   for (const auto& [nodes, of_teams] : {std::pair{1, 3}, {7, 2}, {2, 12}}) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.nodes = nodes;
     options.teams = teams(of_teams);
     options.boot_failures = false;
     options.consolidate = false;
-    World w(options);
+    ClusterSimulation w(options);
     for (int i = 0; i < of_teams; ++i) w.submit(service(i, of_teams, 2), 3);
     w.run_until(60);
     for (int i = 0; i < of_teams; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << nodes << " nodes, team " << i;
@@ -79,13 +79,13 @@
 // some size stop the fleet, whatever the machines.
 TEST(Scale, WorkGrowsNoFasterThanTheFleet) {
   const auto play = [](int jobs) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.nodes = 5;
     options.teams = teams(10);
     options.boot_failures = false;
     options.types = {{"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}}};
     options.capacity = {{"mid", 60}};
-    World w(options);
+    ClusterSimulation w(options);
     for (int i = 0; i < jobs; ++i) w.submit(service(i, 10, 4), 3 + 40.0 * i / jobs);
     w.run_until(100);
     for (int i = 0; i < jobs; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << " of " << jobs;
@@ -104,23 +104,23 @@
 // Each message between controllers named every machine that the sender heard: writing and reading these names cost as
 // much processor time as the workers' reports, and grew with the fleet.
 TEST(Scale, MessagesBetweenControllersDoNotGrowWithTheFleet) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 5;
   options.teams = teams(5);
   options.boot_failures = false;
   options.consolidate = false;
   options.types = {{"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}}};
   options.capacity = {{"mid", 60}};
-  World w(options);
+  ClusterSimulation w(options);
   for (int i = 0; i < 240; ++i) w.submit(service(i, 5, 4), 3);
   w.run_until(60);
   ASSERT_GE(w.machines_up(), 55u);
-  const World::Work before = w.work();
+  const ClusterSimulation::Work before = w.work();
   w.run_until(90);
   // One in each period between any two of them, where it was one each way.
   const size_t messages = w.work().peer_messages - before.peer_messages;
   constexpr double kPairs = 10;
-  const double periods = 30 / (w.settings().report_s / 2);
+  const double periods = 30 / (w.settings().heartbeat_interval_s / 2);
   EXPECT_GE(static_cast<double>(messages), 0.8 * kPairs * periods);
   EXPECT_LE(static_cast<double>(messages), 1.4 * kPairs * periods);
   // Some are just given back or change parts; a fifth of the fleet would be 11.
@@ -131,10 +131,10 @@
 // A tick every eightieth of report_s, forty a second here, was two turns in five of a busy controller, and a turn costs
 // as much as a message.
 TEST(Scale, AControllerWithNothingToDoWakesSeldom) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 5;
   options.teams = teams(5);
-  World w(options);
+  ClusterSimulation w(options);
   w.run_until(30);
   const size_t before = w.work().turns;
   constexpr double kSeconds = 30;
@@ -147,7 +147,7 @@
 // All that stood in line at the start counted as arrivals of three boot times: spare room for a third of it
 // again was rented, and kept for as long.
 TEST(Scale, WhatStoodInLineAtTheStartIsNotExpectedAgain) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.teams = teams(2);
   options.boot_failures = false;
   options.consolidate = false;
@@ -155,7 +155,7 @@
   options.state_write_rps = 80;
   options.types = {{"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 20, {"a", "b"}}};
   options.capacity = {{"mid", 60}};
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 120;  // 960 CPUs, 30 machines
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 2, 4), 3);
   w.run_until(55);
@@ -167,13 +167,13 @@
 // Each job of a dead machine was written twice, without the lost task and with its new place: when dozens of
 // machines died at once, the second half of these writes waited seconds for the budget.
 TEST(Scale, AJobOfADeadMachineIsWrittenOnceToItsNextPlace) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.teams = teams(2);
   options.boot_failures = false;
   options.consolidate = false;
   options.types = {{"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}}};
   options.capacity = {{"mid", 10}};
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 60;
   for (int i = 0; i < kJobs; ++i) {
     auto s = service(2 * i, 2, 1);  // all of one team
@@ -198,11 +198,11 @@
 // Connections between controllers refused: each took the whole budget of the state service for its own, and
 // the service refused a third of what was asked.
 TEST(Scale, ControllersThatDontHearEachOtherShareTheBudgetAllTheSame) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 5;
   options.teams = teams(5);
   options.boot_failures = false;
-  World w(options);
+  ClusterSimulation w(options);
   for (int i = 0; i < 600; ++i) {
     auto s = service(i, 5, 1);
     s.per_task = {0.1, 0, 0.1};
@@ -221,11 +221,11 @@
 
 // One request of fifty machines left in each plan, whatever the cloud takes: a plan every two seconds here.
 TEST(Scale, ManyMachinesOfOneKindAreRentedAtOnce) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.teams = teams(3);
-  for (auto& team : options.teams) team.limit.cpus = team.guarantee.cpus = 10000;
+  for (auto& team : options.teams) team.quota.cpus = team.guarantee.cpus = 10000;
   options.boot_failures = false;
-  options.report_s = 8;
+  options.heartbeat_interval_s = 8;
   options.lease_s = 40;
   options.cancel_s = 100;
   options.state_rps = options.state_write_rps = 3000;
@@ -233,7 +233,7 @@
   options.types = {{"mid", {8, 0, 128}, 50, 1, 1.8, 0.7, 4, {"a"}}};
   constexpr size_t kMachines = 600;
   options.capacity = {{"mid", kMachines}};
-  World w(options);
+  ClusterSimulation w(options);
   for (size_t i = 0; i < kMachines; ++i) {
     auto s = service(static_cast<int>(i), 3, 1);
     s.per_task.cpus = 8;
@@ -247,7 +247,7 @@
 // A command to each machine of a lost zone took every socket for as long as a time-out: the renewals of the lease found
 // none, the lease lapsed, and machines for whose command there was no socket were given up as if they did not answer.
 TEST(Scale, ALostZoneLeavesSocketsForTheStateService) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 2;
   options.teams = teams(2);
   options.boot_failures = false;
@@ -258,7 +258,7 @@
   options.max_connections = 60;  // of which 18 are for own calls
   options.types = {{"mid", {8, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}}};
   options.capacity = {{"mid", 120}};
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 120;
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 2, 4), 3);
   w.run_until(50);
@@ -275,13 +275,13 @@
 // The size that operators run: it comes up, loses a zone, loses all its controllers, changes its leader, and keeps the rules
 // all the while, with work in proportion to the fleet.
 TEST(Scale, FourThousandMachinesThroughALostZoneARestartAndAChangeOfLeader) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 10;
   options.teams = teams(40);
-  for (auto& team : options.teams) team.guarantee.cpus = team.limit.cpus = 1000;
+  for (auto& team : options.teams) team.guarantee.cpus = team.quota.cpus = 1000;
   options.boot_failures = false;
   options.consolidate = false;
-  options.report_s = 5;
+  options.heartbeat_interval_s = 5;
   options.lease_s = 26.5;
   options.cancel_s = 51.5;
   options.state_rps = 2000;
@@ -292,7 +292,7 @@
   options.step_s = 1;
   options.types = {{"mid", {8, 0, 128}, 50, 1, 1.8, 0.7, 10, {"a", "b"}}};
   options.capacity = {{"mid", 2050}};
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 2000;
   constexpr size_t kTasks = 8;
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 40, kTasks), 3 + 0.005 * i);
@@ -328,13 +328,13 @@
 // A job's last start stood for all its replicas, and one array kept a machine from being emptied: at a
 // few hundred jobs nothing was ever settled, and the fleet stayed at its largest.
 TEST(Scale, MachinesAreEmptiedThoughJobsStartAllTheTime) {
-  World::Options options;
+  ClusterSimulation::Options options;
   options.nodes = 2;
   options.teams = teams(2);
   options.boot_failures = false;
   options.types = {{"mid", {32, 0, 128}, 50, 1, 1.8, 0.7, 8, {"a", "b"}}};
   options.capacity = {{"mid", 30}};
-  World w(options);
+  ClusterSimulation w(options);
   // Many services that soon end, and few that stay, dealt over all machines.
   for (int i = 0; i < 80; ++i) {
     w.submit(service(i, 2, 4), 3 + 0.1 * i);
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -76,8 +76,8 @@
 // A team of guests has 0 for everything: read as a limit of nothing, each of its jobs was refused for good.
 TEST(Settings, ALimitOfNothingIsNoLimit) {
   const auto team = platform_settings("", "").teams.front();
-  EXPECT_DOUBLE_EQ(team.limit.cpus, 2);
-  EXPECT_EQ(team.limit.gpus, store::kNoLimit);
+  EXPECT_DOUBLE_EQ(team.quota.cpus, 2);
+  EXPECT_EQ(team.quota.gpus, store::kNoLimit);
   EXPECT_TRUE(team.has_guarantee());
 }
 
--- a/tests/world_cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -2,14 +2,14 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
-void World::rent_machines(const RentMachines& r, CallDone& done) {
+void ClusterSimulation::rent_machines(const ProvisionMachines& r, CallDone& done) {
   const auto known = hires_.find(r.request);
   if (known != hires_.end()) {
-    done.reply = RentReply{known->second};
+    done.reply = ProvisionReply{known->second};
     return;
   }
   const auto type = std::find_if(types_.begin(), types_.end(), [&](const auto& t) { return t.name == r.type; });
@@ -21,7 +21,7 @@
   for (const auto& [id, w] : workers_)
     if (w.type == r.type && w.zone == r.zone && w.spot == r.spot && w.phase != Worker::Phase::dead) ++used;
   const int most = options_.capacity.count(r.type) ? options_.capacity.at(r.type) : 4;
-  RentReply reply;
+  ProvisionReply reply;
   for (int i = 0; i < r.count && used < most; ++i, ++used) {
     char id[16];
     std::snprintf(id, sizeof id, "n-%06d", static_cast<int>(next_machine_++));
@@ -52,18 +52,18 @@
   }
 }
 
-CallDone World::at_cloud(const Call& c) {
+CallDone ClusterSimulation::at_cloud(const Call& c) {
   ++work_.cloud_calls;
   CallDone done{c.id, 200, {}};
-  if (std::holds_alternative<GetTypes>(c.body)) {
-    done.reply = TypesReply{types_};
-  } else if (const auto* r = std::get_if<RentMachines>(&c.body)) {
+  if (std::holds_alternative<ListMachineTypes>(c.body)) {
+    done.reply = MachineTypesReply{types_};
+  } else if (const auto* r = std::get_if<ProvisionMachines>(&c.body)) {
     rent_machines(*r, done);
   } else if (const auto* d = std::get_if<DeleteMachines>(&c.body)) {
     for (const auto& id : d->machines) workers_.erase(id);
   } else if (const auto* list = std::get_if<ListMachines>(&c.body)) {
     constexpr size_t kPage = 500;
-    ListReply reply;
+    ListMachinesReply reply;
     for (auto it = workers_.upper_bound(list->after); it != workers_.end(); ++it) {
       const auto& [id, w] = *it;
       if (now_ - w.created <= settings_.list_lag_s) continue;
--- a/tests/world.cpp
+++ b/tests/simulation/cluster_simulation.cpp
@@ -1,17 +1,17 @@
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 #include <algorithm>
 #include <iostream>
 
 namespace rushtrestle::testing {
 
-World::World(Options options) : options_(std::move(options)), rng_(options_.seed) {
+ClusterSimulation::ClusterSimulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
   settings_.nodes = options_.nodes;
   settings_.zones = {"a", "b"};
   settings_.clock_error_s = 1;
   settings_.teams = {{"red", {64, 16, 0}, {144, 40, 0}}, {"blue", {64, 16, 0}, {144, 40, 0}}};
   if (!options_.teams.empty()) settings_.teams = options_.teams;
-  settings_.report_s = options_.report_s;
+  settings_.heartbeat_interval_s = options_.heartbeat_interval_s;
   settings_.lease_s = options_.lease_s;
   settings_.cancel_s = options_.cancel_s;
   settings_.gang_wait_s = options_.gang_wait_s;
@@ -43,11 +43,11 @@
   for (int n = 0; n < options_.nodes; ++n) start_node(n);
 }
 
-void World::at(double t, std::function<void()> fn) {
+void ClusterSimulation::at(double t, std::function<void()> fn) {
   events_.emplace(std::make_pair(std::max(t, now_), ++serial_), std::move(fn));
 }
 
-void World::run_until(double t) {
+void ClusterSimulation::run_until(double t) {
   while (!events_.empty() && events_.begin()->first.first <= t) {
     auto node = events_.extract(events_.begin());
     now_ = node.key().first;
@@ -56,11 +56,11 @@
   now_ = t;
 }
 
-void World::fail(const std::string& what) { broken.push_back(std::to_string(now_) + " " + what); }
+void ClusterSimulation::fail(const std::string& what) { broken.push_back(std::to_string(now_) + " " + what); }
 
 // ---- nodes ----
 
-void World::start_node(int n) {
+void ClusterSimulation::start_node(int n) {
   Node& node = nodes_[static_cast<size_t>(n)];
   ++node.generation;
   store::Settings s = settings_;
@@ -78,10 +78,10 @@
   node.calls.clear();
   node.commands_to_workers.clear();
   node.alive = true;
-  schedule_tick(n, settings_.report_s / 80);
+  schedule_tick(n, settings_.heartbeat_interval_s / 80);
 }
 
-void World::schedule_tick(int n, double after_s) {
+void ClusterSimulation::schedule_tick(int n, double after_s) {
   Node& waiting = nodes_[static_cast<size_t>(n)];
   const uint64_t serial = ++waiting.tick_serial;
   at(now_ + after_s, [this, n, serial, generation = waiting.generation] {
@@ -92,7 +92,7 @@
   });
 }
 
-void World::deliver(int n, Command c) {
+void ClusterSimulation::deliver(int n, Command c) {
   Node& node = nodes_[static_cast<size_t>(n)];
   if (!node.alive) return;
   if (const auto* done = std::get_if<CallDone>(&c)) {
@@ -108,7 +108,7 @@
   });
 }
 
-void World::process(int n) {
+void ClusterSimulation::process(int n) {
   Node& node = nodes_[static_cast<size_t>(n)];
   if (!node.alive) return;
   if (now_ < node.frozen_until) {  // a tick after it takes up what has come
@@ -133,7 +133,7 @@
   auto effects =
       node.core->handle(batch, Clock{steady, now_ + 1e9 + node.wall_offset, ProcessLoad{options_.memory_in_use_mb}});
   const auto wakeup = node.core->next_wakeup();
-  schedule_tick(n, wakeup ? (*wakeup - steady) / node.drift : settings_.report_s / 80);
+  schedule_tick(n, wakeup ? (*wakeup - steady) / node.drift : settings_.heartbeat_interval_s / 80);
   const auto carry_out_all = [this, n, generation](std::vector<Effect>& all) {
     for (auto& e : all) {
       if (nodes_[static_cast<size_t>(n)].generation != generation) return;
@@ -145,7 +145,7 @@
   at(node.frozen_until, [carry_out_all, effects = std::move(effects)]() mutable { carry_out_all(effects); });
 }
 
-void World::kill_node(int n, double back_after_s) {
+void ClusterSimulation::kill_node(int n, double back_after_s) {
   Node& node = nodes_[static_cast<size_t>(n)];
   if (!node.alive) return;
   node.alive = false;
@@ -159,18 +159,18 @@
   });
 }
 
-void World::replace_node(int n, ControllerVersion version, double back_after_s) {
+void ClusterSimulation::replace_node(int n, ControllerVersion version, double back_after_s) {
   nodes_[static_cast<size_t>(n)].version = version;
   kill_node(n, back_after_s);
 }
 
-void World::carry_out(int n, Effect&& e) {
+void ClusterSimulation::carry_out(int n, Effect&& e) {
   const std::string& name = nodes_[static_cast<size_t>(n)].name;
   if (auto* a = std::get_if<AnswerUser>(&e)) {
     if (a->status == 503) ++work_.refusals;
     auto w = user_waiting_.extract(a->request);
     if (!w.empty()) send(name, "users", [then = w.mapped().then, answer = *a] { then(answer); });
-  } else if (auto* r = std::get_if<AnswerReport>(&e)) {
+  } else if (auto* r = std::get_if<AnswerHeartbeat>(&e)) {
     auto w = report_waiting_.extract(r->request);
     if (w.empty()) return;
     const auto waiting = w.mapped();
@@ -178,13 +178,13 @@
       const auto it = workers_.find(waiting.worker);
       if (it == workers_.end() || it->second.phase != Worker::Phase::up || now_ < it->second.hang_until) return;
       Worker& worker = it->second;
-      if (worker.report_serial != waiting.serial || !worker.reporting || worker.session != waiting.session) return;
+      if (worker.report_serial != waiting.serial || !worker.reporting || worker.agent_epoch != waiting.agent_epoch) return;
       advance(worker);
       worker.reporting = false;
       if (answer.status == 200) {
-        worker.next_report = now_ + settings_.report_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
-        if (answer.token < worker.token) return;  // dropped, renews nothing
-        worker.token = answer.token;
+        worker.next_report = now_ + settings_.heartbeat_interval_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
+        if (answer.fencing_token < worker.fencing_token) return;  // dropped, renews nothing
+        worker.fencing_token = answer.fencing_token;
         worker.lease_from = worker.last_sent;
         execute(worker, answer.commands);
       } else {
@@ -203,7 +203,7 @@
     const auto asker = peer_waiting_.find(p->request);
     if (asker != peer_waiting_.end()) forget_new_words(p->state, n, asker->second.node);
     answer_peer(name, p->request, p->state);
-  } else if (auto* passed = std::get_if<AnswerRelayedReport>(&e)) {
+  } else if (auto* passed = std::get_if<AnswerForwardedHeartbeat>(&e)) {
     answer_peer(name, passed->request, passed->reply);
   } else if (auto* c = std::get_if<Call>(&e)) {
     start_call(n, std::move(*c));
@@ -212,15 +212,15 @@
   }
 }
 
-void World::forget_new_words(PeerState& state, int from, int to) const {
+void ClusterSimulation::forget_new_words(PeerState& state, int from, int to) const {
   if (!options_.words_of_before.count(from) && !options_.words_of_before.count(to)) return;
   state.revision = 0;
   state.current_age_s.reset();
-  state.has.reset();
-  state.handover.reset();
+  state.acknowledged.reset();
+  state.offered_cancellations.reset();
 }
 
-void World::answer_peer(const std::string& from, RequestId request, Reply reply) {
+void ClusterSimulation::answer_peer(const std::string& from, RequestId request, Reply reply) {
   auto w = peer_waiting_.extract(request);
   if (w.empty()) return;
   const auto waiting = w.mapped();
@@ -232,7 +232,7 @@
 
 // ---- network ----
 
-std::optional<double> World::transit(const std::string& from, const std::string& to) {
+std::optional<double> ClusterSimulation::transit(const std::string& from, const std::string& to) {
   double delay = std::uniform_real_distribution<>(0.0005, 0.004)(rng_);
   if (now_ < slow_links_until_) delay += std::uniform_real_distribution<>(0, link_delay_s_)(rng_);
   for (const auto& c : cuts_) {
@@ -243,26 +243,26 @@
   return delay;
 }
 
-void World::send(const std::string& from, const std::string& to, std::function<void()> arrive) {
+void ClusterSimulation::send(const std::string& from, const std::string& to, std::function<void()> arrive) {
   if (const auto delay = transit(from, to)) at(now_ + *delay, std::move(arrive));
 }
 
-void World::cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way) {
+void ClusterSimulation::cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way) {
   cuts_.push_back({a, b, now_ + for_s, hold});
   if (!one_way) cuts_.push_back({b, a, now_ + for_s, hold});
 }
 
-void World::unanswered_writes(double for_s, double share, bool at_once) {
+void ClusterSimulation::unanswered_writes(double for_s, double share, bool at_once) {
   unanswered_until_ = now_ + for_s;
   unanswered_share_ = share;
   unanswered_at_once_ = at_once;
 }
 
-void World::cut_workers(int n, double for_s, bool hold) {
+void ClusterSimulation::cut_workers(int n, double for_s, bool hold) {
   for (const auto& [id, w] : workers_) cut(node_name(n), id, for_s, hold);
 }
 
-void World::cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s, bool hold) {
+void ClusterSimulation::cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s, bool hold) {
   std::vector<std::string> inside, outside{"state", "cloud", "users"};
   for (int n = 0; n < options_.nodes; ++n) (nodes_inside.count(n) ? inside : outside).push_back(node_name(n));
   for (const auto& [id, w] : workers_) (w.zone == zone ? inside : outside).push_back(id);
@@ -270,23 +270,23 @@
     for (const auto& b : outside) cut(a, b, for_s, hold);
 }
 
-void World::slow_links(double for_s, double delay_s) {
+void ClusterSimulation::slow_links(double for_s, double delay_s) {
   slow_links_until_ = now_ + for_s;
   link_delay_s_ = delay_s;
 }
 
-void World::freeze_node(int n, double for_s) { nodes_[static_cast<size_t>(n)].frozen_until = now_ + for_s; }
+void ClusterSimulation::freeze_node(int n, double for_s) { nodes_[static_cast<size_t>(n)].frozen_until = now_ + for_s; }
 
-void World::starve_node(int n, double for_s, double batch_s) {
+void ClusterSimulation::starve_node(int n, double for_s, double batch_s) {
   Node& node = nodes_[static_cast<size_t>(n)];
   node.starved_until = now_ + for_s;
   node.batch_s = batch_s;
 }
 
-void World::cut_node(int n, double for_s, bool hold) { cut(node_name(n), "*", for_s, hold); }
+void ClusterSimulation::cut_node(int n, double for_s, bool hold) { cut(node_name(n), "*", for_s, hold); }
 
 // As the transport does: a call for which there is no socket has no answer.
-bool World::take_socket(Node& node, const Call& c) {
+bool ClusterSimulation::take_socket(Node& node, const Call& c) {
   constexpr double kShareForCalls = 0.3;
   const auto sockets = static_cast<size_t>(settings_.max_connections * kShareForCalls);
   if (node.calls.size() >= sockets) {
@@ -294,12 +294,12 @@
     return false;
   }
   node.calls.insert(c.id);
-  if (std::holds_alternative<CommandWorker>(c.body)) node.commands_to_workers.insert(c.id);
+  if (std::holds_alternative<PushCommands>(c.body)) node.commands_to_workers.insert(c.id);
   work_.most_commands_at_once = std::max(work_.most_commands_at_once, node.commands_to_workers.size());
   return true;
 }
 
-void World::start_call(int n, Call&& c) {
+void ClusterSimulation::start_call(int n, Call&& c) {
   Node& node = nodes_[static_cast<size_t>(n)];
   const int generation = node.generation;
   if (take_socket(node, c)) return perform(n, generation, std::move(c));
@@ -308,7 +308,7 @@
   });
 }
 
-void World::perform(int n, int generation, Call&& c) {
+void ClusterSimulation::perform(int n, int generation, Call&& c) {
   const std::string name = node_name(n);
   const double deadline = now_ + c.timeout_s;
   const CallId id = c.id;
@@ -321,7 +321,7 @@
   at(deadline, [this, n, generation, id] {
     if (nodes_[static_cast<size_t>(n)].generation == generation) deliver(n, CallDone{id, 0, {}});
   });
-  if (const auto* worker = std::get_if<CommandWorker>(&c.body)) {
+  if (const auto* worker = std::get_if<PushCommands>(&c.body)) {
     const std::string to = worker->address;
     send(name, to, [this, to, back, call = c] {
       const auto it = workers_.find(to);
@@ -335,27 +335,27 @@
         run();
       }
     });
-  } else if (std::holds_alternative<TellPeer>(c.body) || std::holds_alternative<RelayReport>(c.body)) {
-    const auto* tell = std::get_if<TellPeer>(&c.body);
-    const auto* relay = std::get_if<RelayReport>(&c.body);
+  } else if (std::holds_alternative<SendPeerState>(c.body) || std::holds_alternative<ForwardHeartbeat>(c.body)) {
+    const auto* tell = std::get_if<SendPeerState>(&c.body);
+    const auto* relay = std::get_if<ForwardHeartbeat>(&c.body);
     const std::string address = tell ? tell->address : relay->address;
     send(name, address, [this, n, generation, id, to = address.back() - '0', call = c] {
       if (!nodes_[static_cast<size_t>(to)].alive) return;
       const RequestId r = next_request_++;
       peer_waiting_[r] = {n, generation, id};
-      if (const auto* state = std::get_if<TellPeer>(&call.body)) {
+      if (const auto* state = std::get_if<SendPeerState>(&call.body)) {
         PeerState said = state->state;
         ++work_.peer_messages;
-        work_.machines_named_to_peers += said.heard.size();
+        work_.machines_named_to_peers += said.machines_heard.size();
         forget_new_words(said, n, to);
-        deliver(to, TakePeerState{r, std::move(said)});
+        deliver(to, HandlePeerState{r, std::move(said)});
       } else {
-        deliver(to, TakeRelayedReport{r, std::get<RelayReport>(call.body).report});
+        deliver(to, HandleForwardedHeartbeat{r, std::get<ForwardHeartbeat>(call.body).heartbeat});
       }
     });
   } else if (std::holds_alternative<Watch>(c.body)) {
     send(name, "state", [this, n, generation, call = c, deadline] { watch(n, generation, call, deadline); });
-  } else if (c.body.index() < CallBody(GetTypes{}).index()) {
+  } else if (c.body.index() < CallBody(ListMachineTypes{}).index()) {
     const double slow = now_ < slow_until_ && rng_() % 4 == 0 ? 3 : 0;
     if (std::holds_alternative<Txn>(c.body) && now_ < unanswered_until_ &&
         std::uniform_real_distribution<>(0, 1)(rng_) < unanswered_share_) {
@@ -370,7 +370,7 @@
   }
 }
 
-Json World::stats_of(int node) {
+Json ClusterSimulation::stats_of(int node) {
   Node& asked = nodes_.at(static_cast<size_t>(node));
   std::deque<Command> commands{ShowStats{next_request_++}};
   const Clock clock{now_ * asked.drift + 1000, now_ + 1e9 + asked.wall_offset, {}};
--- a/tests/world.h
+++ b/tests/simulation/cluster_simulation.h
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "coordination/core.h"
-#include "simulated_controller.h"
-#include "state_service.h"
+#include "simulation/fake_state_store.h"
+#include "simulation/simulated_controller.h"
 
 namespace rushtrestle::testing {
 
@@ -22,7 +22,7 @@
 /// The name of a simulated controller; its address is the same.
 inline std::string node_name(int n) { return "node-" + std::to_string(n); }
 
-class World {
+class ClusterSimulation {
  public:
   struct Options {
     uint64_t seed = 1;
@@ -38,7 +38,7 @@
     double uneven = 0;      // task n so many times that n longer
     bool consolidate = true;
     double state_rps = 60, state_write_rps = 20;
-    double report_s = 2, lease_s = 14, cancel_s = 39, gang_wait_s = 50, gang_peer_s = 8;
+    double heartbeat_interval_s = 2, lease_s = 14, cancel_s = 39, gang_wait_s = 50, gang_peer_s = 8;
     std::optional<std::pair<double, int>> next_limits;  // value_kb and txn_ops
     double next_write_rps = 0;
     std::map<int, ControllerVersion> versions;  // of controllers that don't start with the current one
@@ -50,7 +50,7 @@
     double memory_in_use_mb = 0;  // by each controller, of 56
     int max_connections = 800;    // sockets of a controller; of these, those for its own calls bound the calls under way
   };
-  explicit World(Options options);
+  explicit ClusterSimulation(Options options);
 
   // ---- play ----
   void run_until(double t);
@@ -76,7 +76,7 @@
   void lower_write_rate();
   void slow_state(double for_s);  // one request in four takes seconds
   void cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way = false);
-  void kill_machine(size_t pick);
+  void kill_machine(size_t select_slot);
   void kill_zone(const std::string& zone);  // all its machines that are up
   void sicken_machine_of(const std::string& job, double for_s);
   void break_job(const std::string& job) { jobs_.at(job).broken = true; }  // its tasks fail on every machine
@@ -86,9 +86,9 @@
   void cut_machine_of(const std::string& job, size_t nth, double for_s);
   void kill_machine_of(const std::string& job);                   // one that has a task of it
   void take_machine_of(const std::string& job, double notice_s);  // the cloud takes it back
-  void hang_machine(size_t pick, double for_s);
-  void sick_machine(size_t pick, double for_s);
-  void cut_machine(size_t pick, double for_s, bool hold, bool only_inbound);
+  void hang_machine(size_t select_slot, double for_s);
+  void sick_machine(size_t select_slot, double for_s);
+  void cut_machine(size_t select_slot, double for_s, bool hold, bool only_inbound);
   void cut_node(int n, double for_s, bool hold);
   void cut_workers(int n, double for_s, bool hold);  // all that are up, from this node alone
   // A node stands still while its clocks run on; what has come to it waits.
@@ -107,7 +107,7 @@
   // That share of transactions gets no answer; carried out at once, or 2 to 12 s later.
   void unanswered_writes(double for_s, double share, bool at_once);
   // Reaches no controller, while direct commands reach it and are answered.
-  void mute_machine(size_t pick, double for_s);
+  void mute_machine(size_t select_slot, double for_s);
   // Users call off that many jobs that run, all at once; machines of theirs hang.
   void cancel_some_now(size_t count, double hang_s);
   // That share of the jobs that end is called off at the moment of the end.
@@ -163,7 +163,7 @@
     std::set<CallId> calls, commands_to_workers;  // under way; each takes a socket
   };
   struct Task {
-    ReportedTask report;
+    ReportedTask heartbeat;
     double remaining = 0, fetch_until = 0, last_step = 0;
     double gathered_at = -1;  // of a gang: has its image and waits for the others
     double noticed_at = -1;   // when it was seen first that a member is gone
@@ -175,7 +175,7 @@
     enum class Phase { booting, up, dead } phase = Phase::booting;
     std::optional<double> taken_at;
     double hang_until = 0, sick_until = 0, mute_until = 0;
-    uint64_t session = 1, seq = 0, token = 0;
+    uint64_t agent_epoch = 1, sequence = 0, fencing_token = 0;
     std::map<std::pair<std::string, uint32_t>, Task> tasks;
     double lease_from = 0;
     size_t target = 0;
@@ -216,7 +216,7 @@
   void check_value_sizes(const Txn& t);
   void watch(int n, int generation, const Call& c, double deadline);
   CallDone at_cloud(const Call& c);
-  void rent_machines(const RentMachines& r, CallDone& done);
+  void rent_machines(const ProvisionMachines& r, CallDone& done);
   CallDone at_worker(const std::string& id, const Call& c);
   // Delay until a message arrives; nullopt: lost.
   std::optional<double> transit(const std::string& from, const std::string& to);
@@ -226,7 +226,7 @@
 
   void worker_step(const std::string& id);
   void worker_report(const std::string& id);
-  WorkerReport snapshot(Worker& w);
+  Heartbeat snapshot(Worker& w);
   void execute(Worker& w, const std::vector<WorkerCommand>& commands);
   void advance(Worker& w);
   // A task of a gang's attempt, as its worker has it.
@@ -236,17 +236,17 @@
   };
   using Attempt = std::map<uint32_t, Member>;
   void advance_gangs();
-  void advance_attempt(Job& j, Attempt& members);
-  void progress_gang(Job& j, Attempt& members);
-  void notice_peers(const Job& j, const Attempt& members, Member& m);
+  void advance_attempt(Job& j, Attempt& membership);
+  void progress_gang(Job& j, Attempt& membership);
+  void notice_peers(const Job& j, const Attempt& membership, Member& m);
   static void leave(Member& m, ExitCause cause);
   static bool on_machine(const Task& t) {
-    return t.report.state == TaskState::running || t.report.state == TaskState::saving ||
-           (t.report.state == TaskState::fetching && t.gathered_at >= 0);
+    return t.heartbeat.state == TaskState::running || t.heartbeat.state == TaskState::saving ||
+           (t.heartbeat.state == TaskState::fetching && t.gathered_at >= 0);
   }
   void expire_leases();
   void send_kept_copies(const std::string& key);
-  Worker* pick_worker(size_t pick);
+  Worker* pick_worker(size_t select_slot);
   Worker* worker_of(const std::string& job, size_t nth);
   void user_submit(const std::string& id, int tries);
   void user_poll(const std::string& id);
@@ -275,7 +275,7 @@
   uint64_t serial_ = 0;
   std::map<std::pair<double, uint64_t>, std::function<void()>> events_;
   std::vector<Node> nodes_;
-  StateService state_;
+  FakeStateStore state_;
   double outage_until_ = 0, limited_until_ = 0, slow_until_ = 0;
   std::map<int, double> refused_until_;
   std::map<std::string, Worker> workers_;
@@ -296,7 +296,7 @@
   std::map<RequestId, Waiting> user_waiting_;
   struct ReportWaiting {
     std::string worker;
-    uint64_t session = 0;
+    uint64_t agent_epoch = 0;
     uint64_t serial = 0;
     int node = 0;
   };
--- a/tests/state_service.h
+++ b/tests/simulation/fake_state_store.h
@@ -7,11 +7,11 @@
 #include <optional>
 #include <string>
 
-#include "coordination/context.h"
+#include "coordination/runtime/context.h"
 
 namespace rushtrestle::testing {
 
-class StateService {
+class FakeStateStore {
  public:
   /// What was asked of it and carried out so far.
   struct Counters {
@@ -55,7 +55,7 @@
  private:
   struct Entry {
     store::Json value;
-    uint64_t stamp = 0;
+    uint64_t mod_revision = 0;
     uint64_t lease = 0;
   };
   struct Lease {
@@ -65,7 +65,7 @@
   bool leases_exist(const coordination::Txn& transaction) const;
   bool too_large(const coordination::Txn& transaction) const;
   void read(const coordination::ReadKey& request, coordination::CallDone& done) const;
-  coordination::PageReply read_page(const coordination::ReadPage& request) const;
+  coordination::ListKeysReply list_page(const coordination::ListKeys& request) const;
   void change(const std::string& key, std::optional<store::Json> value, uint64_t lease);
 
   std::map<std::string, Entry> keys_;
--- a/tests/troubles.cpp
+++ b/tests/simulation/generated_faults.cpp
@@ -1,21 +1,21 @@
-#include "troubles.h"
+#include "simulation/generated_faults.h"
 
 namespace rushtrestle::testing {
 
-std::ostream& operator<<(std::ostream& out, const Trouble& t) {
+std::ostream& operator<<(std::ostream& out, const Fault& t) {
   return out << "{" << t.at << ", " << t.kind << ", " << t.which << ", " << t.for_s << ", " << t.flag << "}";
 }
 
-rc::Gen<Trouble> troubles() {
+rc::Gen<Fault> faults() {
   return rc::gen::apply(
       [](int at, int kind, size_t which, int for_s, bool flag) {
-        return Trouble{static_cast<double>(at), kind, which, static_cast<double>(for_s), flag};
+        return Fault{static_cast<double>(at), kind, which, static_cast<double>(for_s), flag};
       },
       rc::gen::inRange(20, 110), rc::gen::inRange(0, 30), rc::gen::inRange<size_t>(0, 12), rc::gen::inRange(3, 45),
       rc::gen::arbitrary<bool>());
 }
 
-void play(World& w, const Trouble& t) {
+void play(ClusterSimulation& w, const Fault& t) {
   const int n = static_cast<int>(t.which % 3);
   switch (t.kind) {
     case 0: w.kill_node(n, t.flag ? 0.2 : 5); break;
--- a/tests/troubles.h
+++ b/tests/simulation/generated_faults.h
@@ -5,12 +5,12 @@
 #include <ostream>
 #include <random>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
 /// One trouble: what (`kind`), when, to which machine or controller, and for how long.
-struct Trouble {
+struct Fault {
   double at;
   int kind;
   size_t which;
@@ -18,11 +18,11 @@
   bool flag;
 };
 
-std::ostream& operator<<(std::ostream& out, const Trouble& t);
+std::ostream& operator<<(std::ostream& out, const Fault& t);
 
 /// Troubles of all kinds within the first two minutes.
-rc::Gen<Trouble> troubles();
-void play(World& w, const Trouble& t);
+rc::Gen<Fault> faults();
+void play(ClusterSimulation& w, const Fault& t);
 
 /// A job of any sort, chosen by `rng`.
 store::JobSpec random_job(int number, std::mt19937_64& rng);
--- a/tests/world_rules.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -1,11 +1,11 @@
 // The rules of the protocol, checked at every start and at every step.
 #include <algorithm>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
-void World::check_start(const Worker& w, const std::string& job, uint32_t task, uint64_t attempt) {
+void ClusterSimulation::check_start(const Worker& w, const std::string& job, uint32_t task, uint64_t attempt) {
   ++started_;
   Job& j = jobs_.at(job);
   ++j.starts;
@@ -23,8 +23,8 @@
       if (key.second == task && id != w.id)
         fail(std::string("ran_twice: ").append(job).append("/").append(std::to_string(task)) + " on " + id + " and " + w.id);
       // Stricter than the protocol, which forbids only the same task and other zones.
-      if (j.spec.kind == store::JobKind::gang && t.report.attempt != attempt)
-        fail("two attempts: " + job + " " + std::to_string(t.report.attempt) + " and " + std::to_string(attempt));
+      if (j.spec.kind == store::JobKind::gang && t.heartbeat.attempt != attempt)
+        fail("two attempts: " + job + " " + std::to_string(t.heartbeat.attempt) + " and " + std::to_string(attempt));
       zones[o.zone]++;
       ++others;
     }
@@ -36,7 +36,7 @@
 }
 
 // All machines.
-void World::check_rules() {
+void ClusterSimulation::check_rules() {
   usage_.clear();
   usage_by_machine_.clear();
   for (const auto& [id, w] : workers_) {
@@ -47,7 +47,7 @@
   check_quotas();
 }
 
-void World::check_cancelled(const Worker& w) {
+void ClusterSimulation::check_cancelled(const Worker& w) {
   if (w.phase != Worker::Phase::up || now_ < w.hang_until) return;
   for (const auto& [key, t] : w.tasks) {
     const Job& j = jobs_.at(key.first);
@@ -55,13 +55,13 @@
   }
 }
 
-void World::forget_usage(const std::string& machine) {
+void ClusterSimulation::forget_usage(const std::string& machine) {
   const auto before = usage_by_machine_.extract(machine);
   if (before.empty()) return;
   for (const auto& [team, resources] : before.mapped()) usage_[team].add(resources, -1);
 }
 
-void World::count_usage(const Worker& w) {
+void ClusterSimulation::count_usage(const Worker& w) {
   forget_usage(w.id);
   if (w.phase != Worker::Phase::up || w.tasks.empty()) return;
   Usage& now = usage_by_machine_[w.id];
@@ -73,20 +73,20 @@
 }
 
 // What the count holds of tasks that ended elsewhere meanwhile is taken out before anything is called broken.
-void World::recheck_quotas(const Worker& w) {
+void ClusterSimulation::recheck_quotas(const Worker& w) {
   count_usage(w);
   const auto over = [this](const store::TeamSettings& team) {
     const auto used = usage_.find(team.name);
     return used != usage_.end() &&
-           (used->second.cpus > team.limit.cpus + 1e-6 || used->second.gpus > team.limit.gpus + 1e-6);
+           (used->second.cpus > team.quota.cpus + 1e-6 || used->second.gpus > team.quota.gpus + 1e-6);
   };
   if (std::any_of(settings_.teams.begin(), settings_.teams.end(), over)) check_rules();
 }
 
-void World::check_quotas() {
+void ClusterSimulation::check_quotas() {
   for (const auto& t : settings_.teams) {
     const auto used = usage_.find(t.name);
-    if (used != usage_.end() && (used->second.cpus > t.limit.cpus + 1e-6 || used->second.gpus > t.limit.gpus + 1e-6))
+    if (used != usage_.end() && (used->second.cpus > t.quota.cpus + 1e-6 || used->second.gpus > t.quota.gpus + 1e-6))
       fail("quota: " + t.name);
   }
 }
--- a/tests/simulated_controller.cpp
+++ b/tests/simulation/simulated_controller.cpp
@@ -1,8 +1,8 @@
-#include "simulated_controller.h"
+#include "simulation/simulated_controller.h"
 
 #include <utility>
 
-#include "effect_digest.h"
+#include "support/effect_digest.h"
 #include "versions/current_fields.h"
 #include "versions/previous_version.h"
 
--- a/tests/world_state_service.cpp
+++ b/tests/simulation/state_store.cpp
@@ -1,45 +1,47 @@
 // The state service as the simulated world has it: outages, refusals and delays around the stand-in itself.
 #include <algorithm>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
 // Just as the new holder begins: with what tells it that it holds the part, or moments later, and once more after.
-void World::send_kept_copies(const std::string& key) {
+void ClusterSimulation::send_kept_copies(const std::string& key) {
   if (key != store::leader_key && key.rfind("part/", 0) != 0) return;
   for (auto& arrive : std::exchange(kept_copies_, {}))
     for (const double within : {0.05, 3.0}) at(now_ + std::uniform_real_distribution<>(0, within)(rng_), arrive);
 }
 
-void World::expire_leases() {
+void ClusterSimulation::expire_leases() {
   if (now_ >= outage_until_) state_.expire_leases(now_);
 }
 
-void World::state_outage(double for_s) {
+void ClusterSimulation::state_outage(double for_s) {
   outage_until_ = now_ + for_s;
   at(outage_until_, [this] { state_.renew_all_leases(now_); });
 }
 
-void World::limit_state(double for_s) { limited_until_ = now_ + for_s; }
+void ClusterSimulation::limit_state(double for_s) { limited_until_ = now_ + for_s; }
 
-void World::lower_state_limits(double value_kb, int txn_ops) { state_.set_limits(value_kb, txn_ops); }
-void World::lower_state_limits() { lower_state_limits(options_.next_limits->first, options_.next_limits->second); }
+void ClusterSimulation::lower_state_limits(double value_kb, int txn_ops) { state_.set_limits(value_kb, txn_ops); }
+void ClusterSimulation::lower_state_limits() {
+  lower_state_limits(options_.next_limits->first, options_.next_limits->second);
+}
 
-void World::lower_write_rate() { state_.set_write_rate(options_.next_write_rps); }
+void ClusterSimulation::lower_write_rate() { state_.set_write_rate(options_.next_write_rps); }
 
-void World::slow_state(double for_s) { slow_until_ = now_ + for_s; }
+void ClusterSimulation::slow_state(double for_s) { slow_until_ = now_ + for_s; }
 
-void World::refuse_state(int node, double for_s) { refused_until_[node] = now_ + for_s; }
+void ClusterSimulation::refuse_state(int node, double for_s) { refused_until_[node] = now_ + for_s; }
 
-void World::watch(int n, int generation, const Call& c, double deadline) {
+void ClusterSimulation::watch(int n, int generation, const Call& c, double deadline) {
   expire_leases();
   const auto& w = std::get<Watch>(c.body);
   if (nodes_[static_cast<size_t>(n)].generation != generation || now_ > deadline) return;
   const bool down = now_ < outage_until_ || now_ < refused_until_[n];
   WatchReply reply{state_.revision(), {}};
   if (!down) reply = *state_.changes_since(w.since);
-  if (down || (reply.events.empty() && now_ + 0.01 < deadline - settings_.report_s)) {
+  if (down || (reply.events.empty() && now_ + 0.01 < deadline - settings_.heartbeat_interval_s)) {
     at(now_ + 0.01, [this, n, generation, c, deadline] { watch(n, generation, c, deadline); });
     return;
   }
@@ -49,14 +51,14 @@
 }
 
 // What was written before the limits fell may be larger; above the present ones nobody may write.
-void World::check_value_sizes(const Txn& t) {
+void ClusterSimulation::check_value_sizes(const Txn& t) {
   const auto most = static_cast<size_t>(kPresentLimits.first * 1024);
   for (const auto& w : t.writes)
     if (w.value && w.value->dump().size() > most && state_.largest_value_kb() >= kPresentLimits.first)
       fail("value of " + w.key + " is too large");
 }
 
-CallDone World::at_state(int n, const Call& c) {
+CallDone ClusterSimulation::at_state(int n, const Call& c) {
   expire_leases();
   CallDone done{c.id, 200, {}};
   if (now_ < outage_until_ || now_ < refused_until_[n]) {
--- a/tests/world_users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,11 +1,11 @@
 // The stand-in of the users: submissions, polls and cancellations, each repeated as the protocol has it.
 #include <algorithm>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
-void World::submit(const store::JobSpec& spec, double at_s) {
+void ClusterSimulation::submit(const store::JobSpec& spec, double at_s) {
   jobs_[spec.id].spec = spec;
   any_gang_ |= spec.kind == store::JobKind::gang;
   at(at_s, [this, id = spec.id] {
@@ -15,8 +15,8 @@
   });
 }
 
-void World::user_ask(int node, const std::function<Command(RequestId)>& make,
-                     const std::function<void(std::optional<AnswerUser>)>& then) {
+void ClusterSimulation::user_ask(int node, const std::function<Command(RequestId)>& make,
+                                 const std::function<void(std::optional<AnswerUser>)>& then) {
   const int n = node == kAnyNode ? static_cast<int>(rng_() % nodes_.size()) : node;
   const RequestId r = next_request_++;
   auto once = std::make_shared<bool>(false);
@@ -30,7 +30,7 @@
   send("users", node_name(n), [this, n, command = make(r)] { deliver(n, command); });
 }
 
-void World::user_submit(const std::string& id, int tries) {
+void ClusterSimulation::user_submit(const std::string& id, int tries) {
   user_ask(
       kAnyNode,
       [this, id](RequestId r) {
@@ -50,21 +50,21 @@
       });
 }
 
-void World::user_poll(const std::string& id) {
+void ClusterSimulation::user_poll(const std::string& id) {
   user_query(id, kAnyNode, [this, id] { at(now_ + 5, [this, id] { user_poll(id); }); });
 }
 
-void World::ask(const std::string& id, double at_s, int node) {
+void ClusterSimulation::ask(const std::string& id, double at_s, int node) {
   at(at_s, [this, id, node] { user_query(id, node, [] {}); });
 }
 
-void World::note_cancelled(Job& j) {
+void ClusterSimulation::note_cancelled(Job& j) {
   if (std::exchange(j.cancel_told, true)) return;
   j.cancel_told_at = now_;
   look_closely(j.spec.id);
 }
 
-void World::look_closely(const std::string& id) {
+void ClusterSimulation::look_closely(const std::string& id) {
   if (now_ >= looks_until_) return;
   for (int n = 0; n < options_.nodes; ++n) {
     for (int i = 0; i < 3; ++i) ask(id, now_ + std::uniform_real_distribution<>(0, 0.02)(rng_), n);
@@ -77,7 +77,7 @@
   }
 }
 
-void World::repeat_submission(const std::string& id, int node) {
+void ClusterSimulation::repeat_submission(const std::string& id, int node) {
   const bool was_done = jobs_.at(id).done_told, was_cancelled = jobs_.at(id).cancel_told;
   user_ask(
       node,
@@ -93,7 +93,7 @@
       });
 }
 
-void World::user_query(const std::string& id, int node, const std::function<void()>& then) {
+void ClusterSimulation::user_query(const std::string& id, int node, const std::function<void()>& then) {
   // Answers may cross: only what was sent after an older answer arrived has to be as new.
   const bool was_done = jobs_.at(id).done_told, was_cancelled = jobs_.at(id).cancel_told;
   user_ask(
@@ -121,7 +121,7 @@
       });
 }
 
-void World::cancel(const std::string& id, double at_s, int node) {
+void ClusterSimulation::cancel(const std::string& id, double at_s, int node) {
   at(at_s, [this, id, node] {
     if (!jobs_.at(id).accepted) return;
     jobs_.at(id).user_cancelled = true;
@@ -129,7 +129,7 @@
   });
 }
 
-void World::user_cancel(const std::string& id, int tries, int node) {
+void ClusterSimulation::user_cancel(const std::string& id, int tries, int node) {
   user_ask(
       node,
       [id](RequestId r) {
@@ -149,32 +149,32 @@
       });
 }
 
-std::optional<std::string> World::told(const std::string& job) const { return jobs_.at(job).last_told; }
-bool World::cancel_told(const std::string& job) const { return jobs_.at(job).cancel_told; }
-bool World::called_off_by_user(const std::string& job) const { return jobs_.at(job).user_cancelled; }
-bool World::accepted(const std::string& job) const { return jobs_.at(job).accepted; }
-uint64_t World::starts_of(const std::string& job) const { return jobs_.at(job).starts; }
-uint64_t World::starts_in_attempt(const std::string& job, uint64_t attempt) const {
+std::optional<std::string> ClusterSimulation::told(const std::string& job) const { return jobs_.at(job).last_told; }
+bool ClusterSimulation::cancel_told(const std::string& job) const { return jobs_.at(job).cancel_told; }
+bool ClusterSimulation::called_off_by_user(const std::string& job) const { return jobs_.at(job).user_cancelled; }
+bool ClusterSimulation::accepted(const std::string& job) const { return jobs_.at(job).accepted; }
+uint64_t ClusterSimulation::starts_of(const std::string& job) const { return jobs_.at(job).starts; }
+uint64_t ClusterSimulation::starts_in_attempt(const std::string& job, uint64_t attempt) const {
   const auto& starts = jobs_.at(job).starts_by_attempt;
   const auto it = starts.find(attempt);
   return it == starts.end() ? 0 : it->second;
 }
 
-const Json* World::stored(const std::string& key) const { return state_.value_of(key); }
+const Json* ClusterSimulation::stored(const std::string& key) const { return state_.value_of(key); }
 
-size_t World::gathering(const std::string& job) const {
+size_t ClusterSimulation::gathering(const std::string& job) const {
   size_t n = 0;
   for (const auto& [id, w] : workers_)
     for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.report.state == TaskState::fetching && t.gathered_at >= 0) ++n;
+      if (key.first == job && t.heartbeat.state == TaskState::fetching && t.gathered_at >= 0) ++n;
   return n;
 }
 
-size_t World::running(const std::string& job) const {
+size_t ClusterSimulation::running(const std::string& job) const {
   size_t n = 0;
   for (const auto& [id, w] : workers_)
     for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.report.state == TaskState::running) ++n;
+      if (key.first == job && t.heartbeat.state == TaskState::running) ++n;
   return n;
 }
 
--- a/tests/slot_index_test.cpp
+++ b/tests/slot_index_test.cpp
@@ -1,5 +1,5 @@
 // The index of a plan's machines against the plain search over all of them.
-#include "coordination/slot_index.h"
+#include "coordination/scheduling/slot_index.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -50,7 +50,7 @@
 }
 
 ptrdiff_t place_by_search(const store::JobSpec& spec, const ZoneCounts& zones, std::vector<Slot>& slots, const Fit& fit) {
-  const Slot* slot = pick(spec, zones, slots, fit);
+  const Slot* slot = select_slot(spec, zones, slots, fit);
   return slot ? slot - slots.data() : -1;
 }
 
@@ -74,7 +74,7 @@
     const auto slots_before = slots;
     for (uint32_t task = 0; task < spec.tasks; ++task) {
       const ptrdiff_t expected = place_by_search(spec, zones, slots, fit);
-      const auto found = index.pick(spec, zones, fit);
+      const auto found = index.select_slot(spec, zones, fit);
       RC_ASSERT((found ? static_cast<ptrdiff_t>(*found) : -1) == expected);
       if (!found) break;
       Slot& slot = slots[*found];
@@ -104,12 +104,12 @@
   fit.reserve = {2, 2};
   store::JobSpec spec;
   spec.per_task = {2, 0, 1};
-  EXPECT_FALSE(index.pick(spec, {}, fit));
+  EXPECT_FALSE(index.select_slot(spec, {}, fit));
   spec.per_task.cpus = 1;
-  EXPECT_TRUE(index.pick(spec, {}, fit));
+  EXPECT_TRUE(index.select_slot(spec, {}, fit));
   fit.reserve.gpus = 0;
   spec.per_task.cpus = 2;
-  EXPECT_TRUE(index.pick(spec, {}, fit));
+  EXPECT_TRUE(index.select_slot(spec, {}, fit));
 }
 
 // Looks at groups and slots for as many tasks as machines, of four shapes in turn, until the machines are full.
@@ -127,7 +127,7 @@
     Fit fit;
     fit.cpu_per_gpu = 4;
     fit.reserve.gpus = reserved_gpus;
-    if (const auto place = index.pick(spec, {}, fit)) index.take(*place, spec.per_task);
+    if (const auto place = index.select_slot(spec, {}, fit)) index.take(*place, spec.per_task);
   }
   return index.looked_at();
 }
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -2,7 +2,7 @@
 // leave late. The rules hold, nobody is judged for it, and all are served once there is time again.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 namespace {
@@ -21,10 +21,10 @@
   return s;
 }
 
-std::string first(const World& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
-World::Options fleet() {
-  World::Options options;
+ClusterSimulation::Options fleet() {
+  ClusterSimulation::Options options;
   options.boot_failures = false;
   options.consolidate = false;
   options.types = {{"small", {8, 0, 32}, 50, 1, 1, 0.5, 8, {"a", "b"}}};
@@ -39,7 +39,7 @@
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     auto options = fleet();
     options.seed = seed;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(service("job-1", 16), 3);
     w.run_until(40);
     ASSERT_EQ(w.running("job-1"), 16u);
@@ -56,7 +56,7 @@
 
 // Polls are shed first, at once and with a time to come back; what users want written is still taken.
 TEST(Starvation, PollsAreShedAndSubmissionsTaken) {
-  World w(fleet());
+  ClusterSimulation w(fleet());
   w.submit(service("job-1", 2), 3);
   w.run_until(40);
   for (int n = 0; n < 3; ++n) w.starve_node(n, 30, 0.9);
@@ -78,7 +78,7 @@
     for (uint64_t seed = 1; seed <= 4; ++seed) {
       auto options = fleet();
       options.seed = seed;
-      World w(options);
+      ClusterSimulation w(options);
       for (int i = 0; i < 12; ++i) {
         w.submit(service("job-" + std::to_string(i), 2), 3 + 2.0 * i);
         if (i % 2) w.cancel("job-" + std::to_string(i), 22 + 2.0 * i);
@@ -97,7 +97,7 @@
 TEST(Starvation, NewWorkIsRefusedNearTheLimitOfMemory) {
   auto options = fleet();
   options.memory_in_use_mb = 55;
-  World w(options);
+  ClusterSimulation w(options);
   w.submit(service("job-1", 2), 3);
   w.run_until(30);
   EXPECT_FALSE(w.accepted("job-1"));
--- a/tests/effect_digest.cpp
+++ b/tests/support/effect_digest.cpp
@@ -1,4 +1,4 @@
-#include "effect_digest.h"
+#include "support/effect_digest.h"
 
 #include <cstdint>
 #include <cstdlib>
--- a/tests/versions/current_fields.h
+++ b/tests/versions/current_fields.h
@@ -30,7 +30,7 @@
 }
 template <class A, OneOf<store::TeamSettings> V>
 void describe(A& a, V& v) {
-  a("name", v.name)("guarantee", v.guarantee)("limit", v.limit);
+  a("name", v.name)("guarantee", v.guarantee)("limit", v.quota);
 }
 template <class A, OneOf<store::Objective> V>
 void describe(A& a, V& v) {
@@ -44,7 +44,7 @@
 void describe(A& a, V& v) {
   a("node", v.node)("zone", v.zone)("listen", v.listen)("peer_listen", v.peer_listen)("cloud", v.cloud)("state", v.state);
   a("peers", v.peers)("nodes", v.nodes)("zones", v.zones)("clock_error_s", v.clock_error_s)("teams", v.teams);
-  a("objectives", v.objectives)("report_s", v.report_s)("lease_s", v.lease_s)("cancel_s", v.cancel_s);
+  a("objectives", v.objectives)("report_s", v.heartbeat_interval_s)("lease_s", v.lease_s)("cancel_s", v.cancel_s);
   a("state_rps", v.state_rps)("state_write_rps", v.state_write_rps)("value_kb", v.value_kb)("txn_ops", v.txn_ops);
   a("cloud_rps", v.cloud_rps)("list_lag_s", v.list_lag_s)("cpu_share", v.cpu_share)("memory_mb", v.memory_mb);
   a("max_connections", v.max_connections);
@@ -58,7 +58,7 @@
 }
 template <class A, OneOf<store::Change> V>
 void describe(A& a, V& v) {
-  a("key", v.key)("value", v.value)("stamp", v.stamp);
+  a("key", v.key)("value", v.value)("stamp", v.mod_revision);
 }
 template <class A, OneOf<WorkerCommand> V>
 void describe(A& a, V& v) {
@@ -72,9 +72,9 @@
 void describe(A& a, V& v) {
   a("id", v.id)("status", v.status)("done", v.done)("running", v.running);
 }
-template <class A, OneOf<Condition> V>
+template <class A, OneOf<Precondition> V>
 void describe(A& a, V& v) {
-  a("key", v.key)("stamp", v.stamp);
+  a("key", v.key)("stamp", v.mod_revision);
 }
 template <class A, OneOf<Write> V>
 void describe(A& a, V& v) {
@@ -95,11 +95,11 @@
 void describe(A& a, V& v) {
   a("request", v.request);
 }
-template <class A, OneOf<TakeReport, TakeRelayedReport> V>
+template <class A, OneOf<HandleHeartbeat, HandleForwardedHeartbeat> V>
 void describe(A& a, V& v) {
-  a("request", v.request)("report", v.report);
+  a("request", v.request)("report", v.heartbeat);
 }
-template <class A, OneOf<TakePeerState> V>
+template <class A, OneOf<HandlePeerState> V>
 void describe(A& a, V& v) {
   a("request", v.request)("state", v.state);
 }
@@ -120,7 +120,7 @@
 void describe(A& a, V& v) {
   a("entry", v.entry)("revision", v.revision);
 }
-template <class A, OneOf<PageReply> V>
+template <class A, OneOf<ListKeysReply> V>
 void describe(A& a, V& v) {
   a("entries", v.entries)("more", v.more)("revision", v.revision);
 }
@@ -132,15 +132,15 @@
 void describe(A& a, V& v) {
   a("revision", v.revision)("events", v.events);
 }
-template <class A, OneOf<TypesReply> V>
+template <class A, OneOf<MachineTypesReply> V>
 void describe(A& a, V& v) {
   a("types", v.types);
 }
-template <class A, OneOf<RentReply> V>
+template <class A, OneOf<ProvisionReply> V>
 void describe(A& a, V& v) {
   a("machines", v.machines);
 }
-template <class A, OneOf<ListReply> V>
+template <class A, OneOf<ListMachinesReply> V>
 void describe(A& a, V& v) {
   a("machines", v.machines)("more", v.more);
 }
@@ -151,7 +151,7 @@
 void describe(A& a, V& v) {
   a("request", v.request)("status", v.status)("job", v.job)("retry_after_s", v.retry_after_s);
 }
-template <class A, OneOf<AnswerReport, AnswerRelayedReport> V>
+template <class A, OneOf<AnswerHeartbeat, AnswerForwardedHeartbeat> V>
 void describe(A& a, V& v) {
   a("request", v.request)("reply", v.reply);
 }
@@ -176,13 +176,13 @@
 
 template <class A, OneOf<Txn> V>
 void describe(A& a, V& v) {
-  a("conditions", v.conditions)("writes", v.writes);
+  a("conditions", v.preconditions)("writes", v.writes);
 }
 template <class A, OneOf<ReadKey> V>
 void describe(A& a, V& v) {
   a("key", v.key);
 }
-template <class A, OneOf<ReadPage> V>
+template <class A, OneOf<ListKeys> V>
 void describe(A& a, V& v) {
   a("prefix", v.prefix)("after", v.after);
 }
@@ -190,7 +190,7 @@
 void describe(A& a, V& v) {
   a("ttl_s", v.ttl_s);
 }
-template <class A, OneOf<ExtendLease> V>
+template <class A, OneOf<RenewLease> V>
 void describe(A& a, V& v) {
   a("lease", v.lease);
 }
@@ -198,9 +198,9 @@
 void describe(A& a, V& v) {
   a("since", v.since)("hold_s", v.hold_s);
 }
-template <class A, OneOf<GetTypes> V>
+template <class A, OneOf<ListMachineTypes> V>
 void describe(A&, V&) {}
-template <class A, OneOf<RentMachines> V>
+template <class A, OneOf<ProvisionMachines> V>
 void describe(A& a, V& v) {
   a("request", v.request)("type", v.type)("zone", v.zone)("spot", v.spot)("count", v.count);
 }
@@ -212,17 +212,17 @@
 void describe(A& a, V& v) {
   a("after", v.after);
 }
-template <class A, OneOf<CommandWorker> V>
+template <class A, OneOf<PushCommands> V>
 void describe(A& a, V& v) {
-  a("address", v.address)("token", v.token)("session", v.session)("commands", v.commands);
+  a("address", v.address)("token", v.fencing_token)("session", v.agent_epoch)("commands", v.commands);
 }
-template <class A, OneOf<TellPeer> V>
+template <class A, OneOf<SendPeerState> V>
 void describe(A& a, V& v) {
   a("address", v.address)("state", v.state);
 }
-template <class A, OneOf<RelayReport> V>
+template <class A, OneOf<ForwardHeartbeat> V>
 void describe(A& a, V& v) {
-  a("address", v.address)("report", v.report);
+  a("address", v.address)("report", v.heartbeat);
 }
 
 // ---- messages between controllers: these go by their own codec, the fields serve generated values ----
@@ -231,32 +231,32 @@
 void describe(A& a, V& v) {
   a("job", v.job)("task", v.task)("attempt", v.attempt)("state", v.state)("cause", v.cause)("saved", v.saved);
 }
-template <class A, OneOf<WorkerReport> V>
+template <class A, OneOf<Heartbeat> V>
 void describe(A& a, V& v) {
-  a("machine", v.machine)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)("session", v.session)(
-      "seq", v.seq)("token", v.token)("notice_s", v.notice_s)("tasks", v.tasks);
+  a("machine", v.machine)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)("session", v.agent_epoch)(
+      "seq", v.sequence)("token", v.fencing_token)("notice_s", v.notice_s)("tasks", v.tasks);
 }
-template <class A, OneOf<ReportReply> V>
+template <class A, OneOf<HeartbeatResponse> V>
 void describe(A& a, V& v) {
-  a("status", v.status)("token", v.token)("commands", v.commands)("redirect", v.redirect);
+  a("status", v.status)("token", v.fencing_token)("commands", v.commands)("redirect", v.redirect);
 }
-template <class A, OneOf<HandoverMark> V>
+template <class A, OneOf<CancellationPosition> V>
 void describe(A& a, V& v) {
-  a("incarnation", v.incarnation)("upto", v.upto);
+  a("incarnation", v.incarnation)("upto", v.count);
 }
 template <class A, OneOf<store::Cancellation> V>
 void describe(A& a, V& v) {
-  a("job", v.job)("stamp", v.stamp);
+  a("job", v.job)("stamp", v.mod_revision);
 }
-template <class A, OneOf<Handover> V>
+template <class A, OneOf<CancellationOffer> V>
 void describe(A& a, V& v) {
   a("mark", v.mark)("from", v.from)("whole", v.whole)("cancellations", v.cancellations);
 }
 template <class A, OneOf<PeerState> V>
 void describe(A& a, V& v) {
-  a("node", v.node)("incarnation", v.incarnation)("has_state", v.has_state)("synced", v.synced)("backlog", v.backlog)(
-      "parts", v.parts)("heard", v.heard)("nodes", v.nodes)("at", v.at)("revision", v.revision)(
-      "current_age_s", v.current_age_s)("has", v.has)("handover", v.handover)("version", v.version)(
+  a("node", v.node)("incarnation", v.incarnation)("has_state", v.has_state_store)("synced", v.synced)("backlog", v.backlog)(
+      "parts", v.shards)("heard", v.machines_heard)("nodes", v.nodes)("at", v.at)("revision", v.revision)(
+      "current_age_s", v.current_age_s)("has", v.acknowledged)("handover", v.offered_cancellations)("version", v.version)(
       "record_format", v.record_format)("budget_need", v.budget_need);
 }
 
@@ -269,18 +269,20 @@
 }
 
 inline Json save_message(PeerWire, const PeerState& v) { return protocol::encode(AnswerPeer{0, v}).body; }
-inline Json save_message(PeerWire, const ReportReply& v) { return protocol::encode(AnswerRelayedReport{0, v}).body; }
-inline Json save_message(PeerWire, const WorkerReport& v) { return protocol::encode(Call{0, 0, RelayReport{"", v}}).body; }
+inline Json save_message(PeerWire, const HeartbeatResponse& v) {
+  return protocol::encode(AnswerForwardedHeartbeat{0, v}).body;
+}
+inline Json save_message(PeerWire, const Heartbeat& v) { return protocol::encode(Call{0, 0, ForwardHeartbeat{"", v}}).body; }
 
 inline void load_message(PeerWire, const std::string& body, PeerState& v) {
-  v = decoded_reply<PeerState>(body, CallBody(TellPeer{}).index());
+  v = decoded_reply<PeerState>(body, CallBody(SendPeerState{}).index());
 }
-inline void load_message(PeerWire, const std::string& body, ReportReply& v) {
-  v = decoded_reply<ReportReply>(body, CallBody(RelayReport{}).index());
+inline void load_message(PeerWire, const std::string& body, HeartbeatResponse& v) {
+  v = decoded_reply<HeartbeatResponse>(body, CallBody(ForwardHeartbeat{}).index());
 }
-inline void load_message(PeerWire, const std::string& body, WorkerReport& v) {
+inline void load_message(PeerWire, const std::string& body, Heartbeat& v) {
   auto command = protocol::decode_peer_request(0, "POST", "/relay", body);
-  v = std::get<TakeRelayedReport>(std::get<Command>(std::move(command))).report;
+  v = std::get<HandleForwardedHeartbeat>(std::get<Command>(std::move(command))).heartbeat;
 }
 
 }  // namespace rushtrestle::exchange
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "troubles.h"
+#include "simulation/generated_faults.h"
 #include "versions/previous_version.h"
 
 namespace rushtrestle::testing {
@@ -51,9 +51,9 @@
   r.zone = "a";
   if (rng() % 2) r.address = "10.1.0.17:9000";
   r.spot = rng() % 2;
-  r.part = static_cast<int>(rng() % 5);
+  r.shard = static_cast<int>(rng() % 5);
   r.phase = static_cast<store::MachinePhase>(rng() % 5);
-  r.next_part = static_cast<int>(rng() % 3) - 1;
+  r.next_shard = static_cast<int>(rng() % 3) - 1;
   r.drain = rng() % 2;
   r.since = 1e9;
   const Json written = to_json(r);
@@ -65,7 +65,7 @@
   bool gangs = true;
 };
 
-void submit_work(World& w, std::mt19937_64& rng, const Work& work) {
+void submit_work(ClusterSimulation& w, std::mt19937_64& rng, const Work& work) {
   for (int i = 0; i < work.jobs; ++i) {
     auto spec = random_job(i, rng);
     if (spec.kind == store::JobKind::gang && !work.gangs) spec.kind = store::JobKind::array;
@@ -75,7 +75,7 @@
   }
 }
 
-void expect_served(const World& w, int jobs) {
+void expect_served(const ClusterSimulation& w, int jobs) {
   for (const auto& b : w.broken) ADD_FAILURE() << b;
   for (int i = 0; i < jobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
@@ -91,11 +91,11 @@
   for (const auto earlier : kEarlier) {
     for (uint64_t seed = 1; seed <= 6; ++seed) {
       SCOPED_TRACE("seed " + std::to_string(seed));
-      World::Options options;
+      ClusterSimulation::Options options;
       options.seed = seed;
       options.next_limits = std::make_pair(2.0, 4);
       for (int n = 0; n < 3; ++n) options.versions[n] = earlier;
-      World w(options);
+      ClusterSimulation w(options);
       std::mt19937_64 rng(seed);
       const Work work;
       submit_work(w, rng, work);
@@ -117,12 +117,12 @@
 // answering its workers though another controller has confirmed a cancellation (docs/operations.md says what to avoid
 // in an upgrade). The version after it keeps the rule beside today's.
 TEST(Versions, OnlyTheFirstVersionBreaksTheRuleOfCancellationsInAnOutage) {
-  const auto broken_with = [](ControllerVersion holder) {
+  const auto broken_with = [](ControllerVersion lease_holder) {
     size_t broken = 0;
     for (uint64_t seed = 1; seed <= 6; ++seed) {
-      World::Options options;
+      ClusterSimulation::Options options;
       options.seed = seed;
-      World w(options);
+      ClusterSimulation w(options);
       store::JobSpec job;
       job.id = "job-1";
       job.job_class = "batch";
@@ -133,7 +133,7 @@
       job.estimate_s = 500;
       w.submit(job, 3);
       const int n = 1;  // the home of red's part
-      w.at(20, [&w, holder] { w.replace_node(n, holder, 0.3); });
+      w.at(20, [&w, lease_holder] { w.replace_node(n, lease_holder, 0.3); });
       w.at(60, [&w] { w.refuse_state(n, 6); });
       w.cancel("job-1", 60.8, 0);
       w.at(62.5, [&w] { w.state_outage(60); });
@@ -166,11 +166,11 @@
 TEST(Versions, AJobWhoseRecordIsTooLargeForTheNewLimitIsCancelled) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.next_limits = std::make_pair(1.0, 4);
     for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(large_array(60, 500), 3);
     w.run_until(40);
     ASSERT_EQ(w.placed("job-1"), 60u);
@@ -195,10 +195,10 @@
 // While one controller of the version before serves, nobody writes what it would pass over: the user has to wait.
 TEST(Versions, NoCancellationStandsBesideARecordWhileAnEarlierVersionServes) {
   for (const auto earlier : kEarlier) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.next_limits = std::make_pair(1.0, 4);
     for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(large_array(60, 60), 3);
     w.run_until(40);
     for (int n = 0; n < 3; ++n) w.replace_node(n, n == 2 ? earlier : ControllerVersion::current, 1);
@@ -220,12 +220,12 @@
   const auto at = *rc::gen::inRange(600, 1400);
   const auto late = *rc::gen::arbitrary<bool>();
   const auto kills = *rc::gen::container<std::vector<int>>(2, rc::gen::inRange(550, 1300));
-  World::Options options;
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.next_limits = std::make_pair(0.9, 4);
   options.uneven = 0.03;
   for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
-  World w(options);
+  ClusterSimulation w(options);
   w.submit(large_array(50, 45), 3);
   for (int n = 0; n < 3; ++n) w.at(30 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
   w.at(50, [&w] { w.lower_state_limits(); });
@@ -243,11 +243,11 @@
 TEST(Versions, ALateEndDoesNotOvertakeACancellationBesideTheRecord) {
   size_t told = 0;
   for (uint64_t seed = 1; seed <= 80; ++seed) {
-    World::Options options;
+    ClusterSimulation::Options options;
     options.seed = seed;
     options.next_limits = std::make_pair(0.9, 4);
     for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
-    World w(options);
+    ClusterSimulation w(options);
     w.submit(large_array(50, 45), 3);
     for (int n = 0; n < 3; ++n) w.at(20 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
     w.at(40, [&w] { w.lower_state_limits(); });
@@ -267,9 +267,9 @@
   for (const auto earlier : kEarlier) {
     for (uint64_t seed = 1; seed <= 4; ++seed) {
       SCOPED_TRACE("seed " + std::to_string(seed));
-      World::Options options;
+      ClusterSimulation::Options options;
       options.seed = seed;
-      World w(options);
+      ClusterSimulation w(options);
       std::mt19937_64 rng(seed);
       const Work work;
       submit_work(w, rng, work);
@@ -283,7 +283,7 @@
 
 // Troubles in which 9fefab8 breaks rules by itself, whoever stands beside it: those that take the state service or the other
 // controllers from it (cancellations that it does not hear of), and transactions carried out late (docs/meetings.md).
-bool first_version_withstands(const Trouble& t) {
+bool first_version_withstands(const Fault& t) {
   static const std::set<int> not_withstood{2, 3, 9, 10, 15, 17, 23, 24};
   return not_withstood.count(t.kind) == 0;
 }
@@ -291,13 +291,13 @@
 // An upgrade under any schedule of troubles.
 void play_upgrade(ControllerVersion from) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(4, rc::gen::container<std::vector<Trouble>>(troubles()));
+  const auto schedule = *rc::gen::resize(4, rc::gen::container<std::vector<Fault>>(faults()));
   const auto turns = *rc::gen::container<std::vector<int>>(3, rc::gen::inRange(30, 110));
-  World::Options options;
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.next_limits = std::make_pair(2.0, 4);
   for (int n = 0; n < 3; ++n) options.versions[n] = from;
-  World w(options);
+  ClusterSimulation w(options);
   std::mt19937_64 rng(seed);
   const Work work;
   submit_work(w, rng, work);
--- a/tests/write_path_test.cpp
+++ b/tests/write_path_test.cpp
@@ -1,16 +1,16 @@
 // A short budget of writes: what is gathered, what meets it, and what is lost with the controller that gathered it.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 namespace {
 
-std::string first(const World& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
 /// Four puts a second for three controllers: every burst is more than they may write.
-World::Options short_budget(uint64_t seed = 1) {
-  World::Options options;
+ClusterSimulation::Options short_budget(uint64_t seed = 1) {
+  ClusterSimulation::Options options;
   options.seed = seed;
   options.boot_failures = false;
   options.consolidate = false;
@@ -35,25 +35,25 @@
   return s;
 }
 
-uint64_t total_starts(const World& w, int jobs) {
+uint64_t total_starts(const ClusterSimulation& w, int jobs) {
   uint64_t n = 0;
   for (int i = 0; i < jobs; ++i) n += w.starts_of("job-" + std::to_string(i));
   return n;
 }
 
 /// Jobs of `tasks` each that run at the same time.
-void submit_jobs(World& w, int jobs, uint32_t tasks, double at) {
+void submit_jobs(ClusterSimulation& w, int jobs, uint32_t tasks, double at) {
   for (int i = 0; i < jobs; ++i) w.submit(array("job-" + std::to_string(i), tasks, i % 2 ? "blue" : "red"), at + 0.1 * i);
 }
 
-void expect_all_done(const World& w, int jobs) {
+void expect_all_done(const ClusterSimulation& w, int jobs) {
   for (int i = 0; i < jobs; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
 // Each end and each start that was seen was a put of its own: a job of ten tasks took a dozen.
 TEST(WritePath, AJobsEndsShareFewPutsWhileTheBudgetIsShort) {
-  World w(short_budget());
+  ClusterSimulation w(short_budget());
   constexpr int kJobs = 8;
   constexpr uint32_t kTasks = 12;
   submit_jobs(w, kJobs, kTasks, 30);
@@ -67,7 +67,7 @@
 // nor misses it.
 TEST(WritePath, AnOwnerThatEndsWithGatheredEndsLosesNone) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    World w(short_budget(seed));
+    ClusterSimulation w(short_budget(seed));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
     submit_jobs(w, kJobs, kTasks, 30);
@@ -82,7 +82,7 @@
 // An unanswered put may or may not have carried its gathered changes.
 TEST(WritePath, UnansweredPutsOfGatheredEndsAreSettled) {
   for (const bool at_once : {true, false}) {
-    World w(short_budget(3));
+    ClusterSimulation w(short_budget(3));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
     submit_jobs(w, kJobs, kTasks, 30);
@@ -97,7 +97,7 @@
 // The owner holds ends back when the job is called off: its write must not undo that, nor the other way round.
 TEST(WritePath, ACancellationMeetsGatheredEnds) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    World w(short_budget(seed));
+    ClusterSimulation w(short_budget(seed));
     constexpr int kJobs = 8;
     submit_jobs(w, kJobs, 12, 30);
     for (int i = 0; i < kJobs; ++i) w.cancel("job-" + std::to_string(i), 50 + 0.3 * i);
@@ -114,7 +114,7 @@
 
 // Machines are lost, jobs end and others come, all in the same seconds.
 TEST(WritePath, AcceptancesEndsAndLostMachinesAtOnce) {
-  World w(short_budget(5));
+  ClusterSimulation w(short_budget(5));
   constexpr int kJobs = 8, kLater = 30;
   submit_jobs(w, kJobs, 10, 30);
   w.run_until(50);
@@ -129,7 +129,7 @@
   auto options = short_budget(7);
   options.nodes = 1;  // both teams are one controller's
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
-  World w(options);
+  ClusterSimulation w(options);
   for (int i = 0; i < 60; ++i) w.submit(array("job-" + std::to_string(i), 2), 30 + 0.05 * i);
   auto urgent = array("job-urgent", 1, "blue");
   urgent.rank = store::Rank::high;
@@ -147,7 +147,7 @@
   auto options = short_budget(9);
   options.state_write_rps = 10;
   options.next_write_rps = 2;
-  World w(options);
+  ClusterSimulation w(options);
   constexpr int kJobs = 8;
   constexpr uint32_t kTasks = 12;
   submit_jobs(w, kJobs, kTasks, 30);
@@ -161,7 +161,7 @@
 // The address of a machine waits for a budget; until then its part's next owner knows it from the worker's reports alone.
 TEST(WritePath, AMachineWhoseAddressIsNotWrittenYetChangesItsOwner) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    World w(short_budget(seed));
+    ClusterSimulation w(short_budget(seed));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
     submit_jobs(w, kJobs, kTasks, 3);
--- a/tests/write_queue_test.cpp
+++ b/tests/write_queue_test.cpp
@@ -1,13 +1,13 @@
 // The order in which writes leave, and how the budget is divided.
-#include "coordination/writes/write_queue.h"
+#include "coordination/state/writes/write_queue.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <numeric>
 
-#include "coordination/writes/budget_share.h"
-#include "coordination/writes/write_ledger.h"
+#include "coordination/membership/budget_share.h"
+#include "coordination/state/writes/write_metrics.h"
 
 namespace rushtrestle::coordination {
 namespace {
@@ -23,7 +23,7 @@
   std::unique_ptr<WriteQueue> queue;
 
   Queue() {
-    settings.report_s = 2;
+    settings.heartbeat_interval_s = 2;
     settings.lease_s = 14;
     settings.cancel_s = 39;
     queue = std::make_unique<WriteQueue>(Tunables(settings), operators);
@@ -77,7 +77,7 @@
   EXPECT_EQ(q.next(0.1, kPlenty), (Keys{"end", "display"}));
   EXPECT_EQ(q.next(0.1, kShort), Keys{});
   EXPECT_EQ(q.queue->pressing(0.1), 0u);
-  EXPECT_EQ(q.next(q.settings.report_s, kShort), Keys{"end"});
+  EXPECT_EQ(q.next(q.settings.heartbeat_interval_s, kShort), Keys{"end"});
   EXPECT_EQ(q.next(q.settings.lease_s / 2, kShort), (Keys{"end", "display"}));
   EXPECT_EQ(q.queue->pressing(q.settings.lease_s / 2), 2u);
 }
@@ -171,15 +171,15 @@
   RC_ASSERT(std::abs(sum - 1) < 1e-6);
 }
 
-TEST(WriteLedger, TellsWhatWaitedAndWhatLayIdle) {
-  WriteLedger ledger;
-  ledger.change(WriteCause::task_end);
-  ledger.change(WriteCause::task_end);
-  for (int i = 0; i < 100; ++i) ledger.put(WriteCause::task_end, 0.01 * i);
-  ledger.hindered(WriteHindrance::in_flight, 10, 5);
-  ledger.hindered(WriteHindrance::write_rate, 12, 5);
-  ledger.hindered(WriteHindrance::none, 15, 5);
-  const auto j = ledger.to_json();
+TEST(WriteMetrics, TellsWhatWaitedAndWhatLayIdle) {
+  WriteMetrics write_metrics;
+  write_metrics.change(WriteCause::task_end);
+  write_metrics.change(WriteCause::task_end);
+  for (int i = 0; i < 100; ++i) write_metrics.put(WriteCause::task_end, 0.01 * i);
+  write_metrics.stalled(StallReason::in_flight, 10, 5);
+  write_metrics.stalled(StallReason::write_rate, 12, 5);
+  write_metrics.stalled(StallReason::none, 15, 5);
+  const auto j = write_metrics.to_json();
   EXPECT_EQ(j["causes"]["task_end"]["changes"], 2);
   EXPECT_EQ(j["causes"]["task_end"]["puts"], 100);
   EXPECT_NEAR(j["causes"]["task_end"]["wait_p50_s"].get<double>(), 0.5, 0.05);
