--- a/bench/scale/cost_scaling.cpp
+++ b/bench/scale/cost_scaling.cpp
@@ -1,5 +1,6 @@
-// rushtrestle_cost_scaling: does one kind of work at one size, for the instruction counts of callgrind, and measures memory. It is
-// called for several sizes by bench/scale/cost_scaling.py, which fits the slopes.
+// rushtrestle_cost_scaling: does one kind of work at one size, for the instruction counts of
+// callgrind, and measures memory. It is called for several sizes by bench/scale/cost_scaling.py,
+// which fits the slopes.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -52,7 +53,8 @@
   r.submitted = 1e9;
   for (uint32_t t = 0; t < r.spec.tasks; ++t) {
     if (status == store::JobStatus::done) r.done.insert(t);
-    if (t < placements) r.placed.push_back({t, LocalController::machine_id(static_cast<int>(t)), 1, true, false});
+    if (t < placements)
+      r.placed.push_back({t, LocalController::machine_id(static_cast<int>(t)), 1, true, false});
   }
   store::Json value = to_json(r);
   value["w"] = "0123456789abcdef.1234";
@@ -71,7 +73,8 @@
   return {store::machine_key(r.id), std::move(value), static_cast<uint64_t>(number) + 1};
 }
 
-/// What the holder of the part keeps beside the model: measured as a whole controller with so many live jobs or machines.
+/// What the holder of the part keeps beside the model: measured as a whole controller with so many
+/// live jobs or machines.
 double controller_bytes(int jobs, int machines, int teams) {
   const double before = allocated_bytes();
   LocalController controller(teams);
@@ -102,7 +105,8 @@
   controller.start();
   Heartbeat report = controller.report_of(LocalController::machine_id(1));
   for (int i = 0; i < tasks; ++i)
-    report.tasks.push_back({"job-" + std::to_string(i), 0, 1, TaskState::running, ExitCause::none, false, false});
+    report.tasks.push_back(
+        {"job-" + std::to_string(i), 0, 1, TaskState::running, ExitCause::none, false, false});
   for (int i = 0; i < tasks; ++i) {
     store::JobRecord r;
     r.spec = local_job(i, 1, kTeams);
@@ -114,7 +118,8 @@
   report.fencing_token = controller.report_of(LocalController::machine_id(1)).fencing_token;
   counted(count, [&](int i) {
     report.sequence = 1000 + static_cast<uint64_t>(i);
-    auto decoded = protocol::decode_request(1, "POST", "/checkin", scale::encode_report(report), false);
+    auto decoded =
+        protocol::decode_request(1, "POST", "/checkin", scale::encode_report(report), false);
     controller.handle(std::get<Command>(std::move(decoded)));
   });
 }
@@ -123,7 +128,8 @@
   Heartbeat report;
   report.machine = report.address = report.type = report.zone = "n-000001";
   for (int i = 0; i < tasks; ++i)
-    report.tasks.push_back({"job-" + std::to_string(i), 0, 1, TaskState::running, ExitCause::none, false, false});
+    report.tasks.push_back(
+        {"job-" + std::to_string(i), 0, 1, TaskState::running, ExitCause::none, false, false});
   counted(count, [&](int) { scale::encode_report(report); });
 }
 
@@ -132,8 +138,10 @@
   store::StateCache state_cache(listener);
   std::vector<std::string> bodies;
   for (int i = 0; i <= count; ++i)
-    bodies.push_back(scale::encode_state_reply(
-        CallDone{1, 200, WatchReply{1, {job_change(i, static_cast<uint32_t>(placements), store::JobStatus::open)}}}));
+    bodies.push_back(scale::encode_state_reply(CallDone{
+        1, 200,
+        WatchReply{1,
+                   {job_change(i, static_cast<uint32_t>(placements), store::JobStatus::open)}}}));
   const auto kind = CallBody(Watch{}).index();
   counted(count, [&](int i) {
     const auto done = protocol::decode_reply(1, kind, "", 200, bodies[static_cast<size_t>(i)]);
@@ -154,9 +162,11 @@
     controller.pass(0.5);
   });
   const auto& after = controller.state().counters();
-  std::cout << "puts " << static_cast<double>(after.puts - before.puts) / (count + 1) << " transactions "
-            << static_cast<double>(after.transactions - before.transactions) / (count + 1) << " requests "
-            << static_cast<double>(after.requests - before.requests) / (count + 1) << "\n";
+  std::cout << "puts " << static_cast<double>(after.puts - before.puts) / (count + 1)
+            << " transactions "
+            << static_cast<double>(after.transactions - before.transactions) / (count + 1)
+            << " requests " << static_cast<double>(after.requests - before.requests) / (count + 1)
+            << "\n";
 }
 
 void polls(int live_jobs, int count) {
@@ -166,10 +176,13 @@
     controller.state().preset(c.key, *c.value);
   }
   controller.start();
-  counted(count, [&](int i) { controller.handle(QueryJob{1, "job-" + std::to_string(i % live_jobs)}); });
+  counted(count, [&](int i) {
+    controller.handle(QueryJob{1, "job-" + std::to_string(i % live_jobs)});
+  });
 }
 
-/// Seconds of a controller that holds everything and leads, with jobs that wait in vain and machines.
+/// Seconds of a controller that holds everything and leads, with jobs that wait in vain and
+/// machines.
 void seconds(int waiting_jobs, int machines, int teams, int count) {
   LocalController controller(teams);
   for (int i = 0; i < machines; ++i) controller.add_machine(i);
@@ -203,8 +216,8 @@
   return s;
 }
 
-/// Seconds of a controller that holds everything and leads a fleet with room, while as many jobs as machines wait for the
-/// budget of writes.
+/// Seconds of a controller that holds everything and leads a fleet with room, while as many jobs as
+/// machines wait for the budget of writes.
 void fleet_seconds(int machines, int count) {
   constexpr int kManyTeams = 740;
   constexpr double kWritesPerSecond = 100;
@@ -223,7 +236,8 @@
 void start_up(int jobs, bool finished) {
   LocalController controller(kTeams);
   for (int i = 0; i < jobs; ++i) {
-    const auto c = job_change(i, finished ? 0 : 5, finished ? store::JobStatus::done : store::JobStatus::open);
+    const auto c =
+        job_change(i, finished ? 0 : 5, finished ? store::JobStatus::done : store::JobStatus::open);
     controller.state().preset(c.key, *c.value);
   }
   CALLGRIND_TOGGLE_COLLECT;
@@ -244,11 +258,20 @@
   app.add_option("--count", count, "how often")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   const std::map<std::string, std::function<double()>> memory = {
-      {"live-job", [&] { return model_bytes(size, [](int i) { return job_change(i, 0, JobStatus::open); }); }},
-      {"live-job-10-placed", [&] { return model_bytes(size, [](int i) { return job_change(i, 10, JobStatus::open); }); }},
-      {"finished-job", [&] { return model_bytes(size, [](int i) { return job_change(i, 0, JobStatus::done); }); }},
-      {"machine", [&] { return model_bytes(size, [](int i) { return machine_change(i, MachinePhase::assigned); }); }},
-      {"machine-gone", [&] { return model_bytes(size, [](int i) { return machine_change(i, MachinePhase::deleted); }); }},
+      {"live-job",
+       [&] { return model_bytes(size, [](int i) { return job_change(i, 0, JobStatus::open); }); }},
+      {"live-job-10-placed",
+       [&] { return model_bytes(size, [](int i) { return job_change(i, 10, JobStatus::open); }); }},
+      {"finished-job",
+       [&] { return model_bytes(size, [](int i) { return job_change(i, 0, JobStatus::done); }); }},
+      {"machine",
+       [&] {
+         return model_bytes(size, [](int i) { return machine_change(i, MachinePhase::assigned); });
+       }},
+      {"machine-gone",
+       [&] {
+         return model_bytes(size, [](int i) { return machine_change(i, MachinePhase::deleted); });
+       }},
       {"held-job", [&] { return controller_bytes(size, 0, kTeams); }},
       {"held-machine", [&] { return controller_bytes(0, size, kTeams); }},
       {"team", [&] { return controller_bytes(0, 0, size); }}};
--- a/bench/scale/experiment.cpp
+++ b/bench/scale/experiment.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 template <class Value, size_t N>
-Value one_of(const TomlTable& table, const char* key, const std::array<std::pair<const char*, Value>, N>& words) {
+Value one_of(const TomlTable& table, const char* key,
+             const std::array<std::pair<const char*, Value>, N>& words) {
   const std::string text = table.text(key);
   std::string allowed;
   for (const auto& [word, value] : words) {
@@ -39,9 +40,13 @@
   using store::Rank;
   JobClass c;
   c.shape.job_class = t.text("name");
-  c.shape.kind = one_of<JobKind, 2>(t, "sort", {{{"array", JobKind::array}, {"service", JobKind::service}}});
-  c.shape.rank = one_of<Rank, 4>(
-      t, "rank", {{{"idle", Rank::low}, {"normal", Rank::normal}, {"urgent", Rank::high}, {"prod", Rank::production}}});
+  c.shape.kind =
+      one_of<JobKind, 2>(t, "sort", {{{"array", JobKind::array}, {"service", JobKind::service}}});
+  c.shape.rank = one_of<Rank, 4>(t, "rank",
+                                 {{{"idle", Rank::low},
+                                   {"normal", Rank::normal},
+                                   {"urgent", Rank::high},
+                                   {"prod", Rank::production}}});
   c.shape.per_task = {t.positive("cpus"), t.number_or("gpus", 0), t.positive("memory_gb")};
   c.shape.image_gb = t.number_or("image_gb", 0);
   c.shape.spread = t.flag_or("spread", false);
@@ -139,19 +144,22 @@
 }
 
 std::string controller_name(int index) { return "controller-" + std::to_string(index); }
-std::string controller_address(int index) { return "127.0.1." + std::to_string(index + 1) + ":17080"; }
+std::string controller_address(int index) {
+  return "127.0.1." + std::to_string(index + 1) + ":17080";
+}
 std::string peer_address(int index) { return "127.0.1." + std::to_string(index + 1) + ":17081"; }
 
 std::string controller_settings(const Experiment& e, int index) {
   const auto& p = e.platform;
   const auto zone_of = [&](int i) { return p.zones[static_cast<size_t>(i) % p.zones.size()]; };
   std::ostringstream out;
-  out << "node = \"" << controller_name(index) << "\"\narea = \"" << zone_of(index) << "\"\nserve_on = \""
-      << controller_address(index) << "\"\npeer_listen = \"" << peer_address(index) << "\"\n";
+  out << "node = \"" << controller_name(index) << "\"\narea = \"" << zone_of(index)
+      << "\"\nserve_on = \"" << controller_address(index) << "\"\npeer_listen = \""
+      << peer_address(index) << "\"\n";
   for (int i = 0; i < p.nodes; ++i)
     if (i != index)
-      out << "[[peers]]\nnode = \"" << controller_name(i) << "\"\narea = \"" << zone_of(i) << "\"\npeer_addr = \""
-          << peer_address(i) << "\"\n";
+      out << "[[peers]]\nnode = \"" << controller_name(i) << "\"\narea = \"" << zone_of(i)
+          << "\"\npeer_addr = \"" << peer_address(i) << "\"\n";
   out << "[external]\ncloud = \"" << kCloudAddress << "\"\nstate = \"" << kStateAddress
       << "\"\n[deployment]\ncount = " << p.nodes << "\nzones = [";
   for (const auto& zone : p.zones) out << "\"" << zone << "\", ";
@@ -159,9 +167,10 @@
   for (int i = 0; i < e.team_count; ++i)
     out << "[[deployment.teams]]\nname = \"team-" << i << "\"\ncpus = " << e.team_cpus
         << "\ngpus = 0\ncpus_max = " << e.team_cpus_max << "\ngpus_max = 0\n";
-  out << "[deployment.workers]\nreport_s = " << p.heartbeat_interval_s << "\nlease_s = " << p.lease_s
-      << "\ncancel_s = " << p.cancel_s << "\n[deployment.state]\nrps = " << p.state_rps
-      << "\nwrite_rps = " << p.state_write_rps << "\nvalue_kb = " << p.value_kb << "\ntxn_ops = " << p.txn_ops
+  out << "[deployment.workers]\nreport_s = " << p.heartbeat_interval_s
+      << "\nlease_s = " << p.lease_s << "\ncancel_s = " << p.cancel_s
+      << "\n[deployment.state]\nrps = " << p.state_rps << "\nwrite_rps = " << p.state_write_rps
+      << "\nvalue_kb = " << p.value_kb << "\ntxn_ops = " << p.txn_ops
       << "\n[deployment.cloud]\nrps = " << p.cloud_rps << "\nlist_lag_s = " << p.list_lag_s
       << "\n[deployment.resources]\ncores = " << p.cpu_share << "\nram_mb = " << p.memory_mb
       << "\nfd_limit = " << p.max_connections << "\n";
--- a/bench/scale/fleet.cpp
+++ b/bench/scale/fleet.cpp
@@ -17,19 +17,24 @@
 /// Each machine has an address of its own in the loopback range.
 std::string machine_address(size_t number) {
   constexpr size_t kHostsOfNet = 250;
-  return "127.1." + std::to_string(number / kHostsOfNet) + "." + std::to_string(number % kHostsOfNet + 1) + ":17900";
+  return "127.1." + std::to_string(number / kHostsOfNet) + "." +
+         std::to_string(number % kHostsOfNet + 1) + ":17900";
 }
 
 }  // namespace
 
 Fleet::Fleet(WorkerSurroundings surroundings)
     : at_(surroundings),
-      server_(at_.event_loop, transport::parse_address(kCloudAddress), {kCloudConnections, protocol::kBodyLimit, 600},
-              [this](transport::ExchangeId exchange, transport::HttpMessage&& m) { serve(exchange, m); }) {
+      server_(at_.event_loop, transport::parse_address(kCloudAddress),
+              {kCloudConnections, protocol::kBodyLimit, 600},
+              [this](transport::ExchangeId exchange, transport::HttpMessage&& m) {
+                serve(exchange, m);
+              }) {
   rate_.set_rate(at_.experiment.platform.cloud_rps);
   const auto& zones = at_.experiment.platform.zones;
   for (const auto& pool : at_.experiment.pools)
-    for (int i = 0; i < pool.up_at_start; ++i) add(pool, zones[static_cast<size_t>(i) % zones.size()], false, 0);
+    for (int i = 0; i < pool.up_at_start; ++i)
+      add(pool, zones[static_cast<size_t>(i) % zones.size()], false, 0);
 }
 
 std::string Fleet::add(const MachinePool& pool, const std::string& zone, bool spot, double boot_s) {
@@ -38,7 +43,8 @@
   Rented& machine = machines_[id];
   machine.since = at_.event_loop.now();
   machine.up_at = at_.event_loop.now() + boot_s;
-  machine.worker = std::make_unique<HollowWorker>(at_, id, machine_address(machines_.size()), pool.type, zone, spot);
+  machine.worker = std::make_unique<HollowWorker>(at_, id, machine_address(machines_.size()),
+                                                  pool.type, zone, spot);
   at_.event_loop.after(boot_s, [this, &machine] {
     if (machine.gone) return;
     machine.worker->boot();
@@ -48,13 +54,14 @@
 }
 
 size_t Fleet::up() const {
-  return static_cast<size_t>(
-      std::count_if(machines_.begin(), machines_.end(), [](const auto& m) { return m.second.worker->up(); }));
+  return static_cast<size_t>(std::count_if(machines_.begin(), machines_.end(),
+                                           [](const auto& m) { return m.second.worker->up(); }));
 }
 
 int Fleet::in_use(const std::string& type, const std::string& zone) const {
   return static_cast<int>(std::count_if(machines_.begin(), machines_.end(), [&](const auto& m) {
-    return !m.second.gone && m.second.worker->type().name == type && m.second.worker->zone() == zone;
+    return !m.second.gone && m.second.worker->type().name == type &&
+           m.second.worker->zone() == zone;
   }));
 }
 
@@ -72,7 +79,8 @@
   if (!body) return answer(400, Json::object());
   if (m.target == "/rentals") {
     const auto rented = rent(*body);
-    return rented.empty() ? answer(503, {{"error", "no capacity"}}) : answer(200, {{"rigs", rented}});
+    return rented.empty() ? answer(503, {{"error", "no capacity"}})
+                          : answer(200, {{"rigs", rented}});
   }
   remove(*body);
   answer(200, Json::object());
@@ -97,13 +105,15 @@
 Json Fleet::list(const std::string& target) const {
   constexpr size_t kPage = 500;
   const auto at = target.find("since=");
-  const std::string after = at == std::string::npos ? "" : target.substr(at + 6, target.find('&', at) - at - 6);
+  const std::string after =
+      at == std::string::npos ? "" : target.substr(at + 6, target.find('&', at) - at - 6);
   Json rigs = Json::array();
   bool more = false;
   const double seen_at = at_.event_loop.now() - at_.experiment.platform.list_lag_s;
   for (auto it = machines_.upper_bound(after); it != machines_.end() && !more; ++it) {
     const Rented& m = it->second;
-    const bool listed = m.since <= seen_at || m.since == m.up_at;  // those up at the start were rented long ago
+    const bool listed =
+        m.since <= seen_at || m.since == m.up_at;  // those up at the start were rented long ago
     if (!listed || (m.gone && m.gone_at <= seen_at)) continue;
     if (rigs.size() == kPage) {
       more = true;
@@ -131,7 +141,8 @@
     const int free = pool.capacity - in_use(type, zone);
     for (int i = 0; i < std::min(count, free); ++i)
       granted.push_back(
-          add(pool, zone, request.at("loaners"), pool.type.boot_s * std::uniform_real_distribution<>(0.6, 1.5)(at_.random)));
+          add(pool, zone, request.at("loaners"),
+              pool.type.boot_s * std::uniform_real_distribution<>(0.6, 1.5)(at_.random)));
   }
   return granted;
 }
@@ -177,7 +188,8 @@
 double Fleet::seconds_up() const {
   double sum = 0;
   for (const auto& [id, m] : machines_)
-    if (m.up_at < at_.event_loop.now()) sum += (m.gone ? std::max(m.gone_at, m.up_at) : at_.event_loop.now()) - m.up_at;
+    if (m.up_at < at_.event_loop.now())
+      sum += (m.gone ? std::max(m.gone_at, m.up_at) : at_.event_loop.now()) - m.up_at;
   return sum;
 }
 
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -38,7 +38,7 @@
   int in_use(const std::string& type, const std::string& zone) const;
 
   WorkerSurroundings at_;
-  std::map<std::string, Rented> machines_;                   // by name, which is the order of creation
+  std::map<std::string, Rented> machines_;  // by name, which is the order of creation
   std::map<std::string, std::vector<std::string>> granted_;  // by request name
   size_t most_up_ = 0;
   coordination::TokenBucket rate_;
--- a/bench/scale/hollow_worker.cpp
+++ b/bench/scale/hollow_worker.cpp
@@ -17,7 +17,8 @@
 constexpr double kNextController = 1;  // seconds until the next one is tried
 constexpr double kChangesApart = 0.5;  // seconds between reports of changes
 constexpr size_t kHead = 110;          // bytes of an HTTP head in either direction, as sent here
-constexpr size_t kConnectionsOut = 1;  // one report at a time; another controller is reached by another connection
+constexpr size_t kConnectionsOut =
+    1;  // one report at a time; another controller is reached by another connection
 
 double uniform(std::mt19937_64& random, double from, double to) {
   return std::uniform_real_distribution<>(from, to)(random);
@@ -33,7 +34,8 @@
       type_(type),
       zone_(std::move(zone)),
       spot_(spot),
-      controller_(static_cast<int>(at_.random() % static_cast<uint64_t>(at_.experiment.platform.nodes))),
+      controller_(
+          static_cast<int>(at_.random() % static_cast<uint64_t>(at_.experiment.platform.nodes))),
       client_(at_.event_loop, kConnectionsOut, protocol::kBodyLimit) {}
 
 HollowWorker::~HollowWorker() { stop(); }
@@ -64,14 +66,16 @@
   cut(after_s);
 }
 
-void HollowWorker::cut(double for_s) { silent_until_ = std::max(silent_until_, at_.event_loop.now() + for_s); }
+void HollowWorker::cut(double for_s) {
+  silent_until_ = std::max(silent_until_, at_.event_loop.now() + for_s);
+}
 
 // ---- lease ----
 
 void HollowWorker::renew_lease(double sent_at) {
   at_.event_loop.cancel(lease_timer_);
-  lease_timer_ =
-      at_.event_loop.after(sent_at + at_.experiment.platform.lease_s - at_.event_loop.now(), [this] { lease_lapsed(); });
+  lease_timer_ = at_.event_loop.after(
+      sent_at + at_.experiment.platform.lease_s - at_.event_loop.now(), [this] { lease_lapsed(); });
 }
 
 void HollowWorker::lease_lapsed() {
@@ -95,7 +99,8 @@
 
 void HollowWorker::arm_report(double after_s) {
   at_.event_loop.cancel(report_timer_);
-  report_timer_ = at_.event_loop.after(std::max(after_s, silent_until_ - at_.event_loop.now()), [this] { send_report(); });
+  report_timer_ = at_.event_loop.after(std::max(after_s, silent_until_ - at_.event_loop.now()),
+                                       [this] { send_report(); });
 }
 
 void HollowWorker::changed() {
@@ -126,10 +131,12 @@
   ++traffic_.reports;
   const std::string body = encode_report(report());
   traffic_.bytes_sent += body.size() + kHead;
-  client_.request(transport::parse_address(controller_address(controller_)), "POST", "/checkin", body, "application/cbor",
-                  kAnswerWithin,
+  client_.request(transport::parse_address(controller_address(controller_)), "POST", "/checkin",
+                  body, "application/cbor", kAnswerWithin,
                   [this, agent_epoch = session_, sent_at = last_report_, to = controller_](
-                      int status, std::string&& answer) { report_answered(agent_epoch, sent_at, to, status, answer); });
+                      int status, std::string&& answer) {
+                    report_answered(agent_epoch, sent_at, to, status, answer);
+                  });
 }
 
 void HollowWorker::go_on_with(int controller, double after_s) {
@@ -149,12 +156,14 @@
   if (status == 421 && answer) {
     const std::string named = answer->value("foreman", "");
     for (int i = 0; i < at_.experiment.platform.nodes; ++i)
-      if (i != controller && named == controller_name(i)) return go_on_with(i, uniform(at_.random, 0, kChangesApart));
+      if (i != controller && named == controller_name(i))
+        return go_on_with(i, uniform(at_.random, 0, kChangesApart));
   }
   if (status != 200) return go_on_with(controller + 1, kNextController);
   arm_report(at_.experiment.platform.heartbeat_interval_s * uniform(at_.random, 0.75, 1.25));
   const uint64_t fencing_token = answer ? answer->value("baton", uint64_t{0}) : 0;
-  if (agent_epoch != session_ || fencing_token == 0 || fencing_token < token_) return;  // dropped: renews nothing
+  if (agent_epoch != session_ || fencing_token == 0 || fencing_token < token_)
+    return;  // dropped: renews nothing
   const bool higher = fencing_token > token_;
   token_ = fencing_token;
   renew_lease(sent_at);
@@ -211,13 +220,15 @@
 bool HollowWorker::has_room_for(const store::JobSpec& spec) const {
   store::Resources free = type_.size;
   for (const auto& [id, task] : tasks_)
-    if (const Job* job = task.state == TaskState::exited ? nullptr : at_.jobs.find(id.job)) free.add(job->spec.per_task, -1);
+    if (const Job* job = task.state == TaskState::exited ? nullptr : at_.jobs.find(id.job))
+      free.add(job->spec.per_task, -1);
   return spec.per_task.fits(free);
 }
 
 /// Also marks the image as used, and evicts those not used for longest.
 double HollowWorker::fetch_s(const store::JobSpec& spec) {
-  const auto known = std::find_if(images_.begin(), images_.end(), [&](const auto& i) { return i.first == spec.image; });
+  const auto known = std::find_if(images_.begin(), images_.end(),
+                                  [&](const auto& i) { return i.first == spec.image; });
   const bool cached = known != images_.end();
   if (cached) images_.erase(known);
   images_.emplace_back(spec.image, spec.image_gb);
@@ -235,7 +246,8 @@
   if (tasks_.count(id)) return;
   const Job* job = at_.jobs.find(order.job);
   const auto same_task = std::find_if(tasks_.begin(), tasks_.end(), [&](const auto& t) {
-    return t.first.job == order.job && t.first.task == order.task && t.second.state != TaskState::exited;
+    return t.first.job == order.job && t.first.task == order.task &&
+           t.second.state != TaskState::exited;
   });
   ExitCause refused = ExitCause::none;
   if (!job || order.task >= job->spec.tasks) {
@@ -264,10 +276,11 @@
   if (job.completed[id.task]) {  // the result is kept
     end(it, ExitCause::done);
   } else if (job.spec.kind == store::JobKind::array) {
-    it->second.timer = at_.event_loop.after(std::max(0.0, job.run_s[id.task] - job.saved[id.task]), [this, id] {
-      at_.jobs.task_completed(*at_.jobs.find(id.job), id.task, at_.event_loop.now());
-      end(tasks_.find(id), ExitCause::done);
-    });
+    it->second.timer =
+        at_.event_loop.after(std::max(0.0, job.run_s[id.task] - job.saved[id.task]), [this, id] {
+          at_.jobs.task_completed(*at_.jobs.find(id.job), id.task, at_.event_loop.now());
+          end(tasks_.find(id), ExitCause::done);
+        });
   }
   changed();
 }
@@ -287,7 +300,8 @@
     if (task.state == TaskState::saving && order.grace_s > 0) return;  // goes on saving
     if (can_save) {                                                    // what it saved by itself
       const double made = progress(job, id, task);
-      job.saved[id.task] = std::max(job.saved[id.task], made - std::fmod(made, job.spec.checkpoint_s));
+      job.saved[id.task] =
+          std::max(job.saved[id.task], made - std::fmod(made, job.spec.checkpoint_s));
     }
     return end(it, ExitCause::stopped);
   }
--- a/bench/scale/hollow_worker.h
+++ b/bench/scale/hollow_worker.h
@@ -28,8 +28,8 @@
 
 class HollowWorker {
  public:
-  HollowWorker(WorkerSurroundings surroundings, std::string id, std::string address, const store::MachineType& type,
-               std::string zone, bool spot);
+  HollowWorker(WorkerSurroundings surroundings, std::string id, std::string address,
+               const store::MachineType& type, std::string zone, bool spot);
   HollowWorker(const HollowWorker&) = delete;
   HollowWorker& operator=(const HollowWorker&) = delete;
   ~HollowWorker();
@@ -56,7 +56,9 @@
     std::string job;
     uint32_t task = 0;
     uint64_t attempt = 0;
-    bool operator<(const TaskId& o) const { return std::tie(job, task, attempt) < std::tie(o.job, o.task, o.attempt); }
+    bool operator<(const TaskId& o) const {
+      return std::tie(job, task, attempt) < std::tie(o.job, o.task, o.attempt);
+    }
   };
   struct Task {
     coordination::TaskState state = coordination::TaskState::fetching;
@@ -70,7 +72,8 @@
   void arm_report(double after_s);
   void changed();
   void send_report();
-  void report_answered(uint64_t agent_epoch, double sent_at, int controller, int status, const std::string& body);
+  void report_answered(uint64_t agent_epoch, double sent_at, int controller, int status,
+                       const std::string& body);
   void go_on_with(int controller, double after_s);
   void serve(transport::ExchangeId exchange, const transport::HttpMessage& message);
   coordination::Heartbeat report();
--- a/bench/scale/jobs.cpp
+++ b/bench/scale/jobs.cpp
@@ -25,14 +25,18 @@
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void JobBook::violated(const std::string& rule, const std::string& what) { violations.push_back(rule + ": " + what); }
+void JobBook::violated(const std::string& rule, const std::string& what) {
+  violations.push_back(rule + ": " + what);
+}
 
 void JobBook::check_place(const Job& job, const StartPlace& place) {
   const auto& spec = job.spec;
   const bool zone_allowed = !spec.zone || *spec.zone == place.zone;
-  if (!zone_allowed || (place.spot && !spec.spot)) violated("wrong_place", spec.id + " on " + place.machine);
+  if (!zone_allowed || (place.spot && !spec.spot))
+    violated("wrong_place", spec.id + " on " + place.machine);
   const auto zone = job.zones.find(place.zone);
-  if (spec.spread && zone != job.zones.end() && zone->second > static_cast<int>((spec.tasks + 1) / 2))
+  if (spec.spread && zone != job.zones.end() &&
+      zone->second > static_cast<int>((spec.tasks + 1) / 2))
     violated("wrong_place", spec.id + " is not spread");
 }
 
@@ -40,13 +44,15 @@
   const auto& spec = job.spec;
   const auto elsewhere = job.on_machine.find(task);
   if (elsewhere != job.on_machine.end())
-    violated("ran_twice", spec.id + "/" + std::to_string(task) + " on " + elsewhere->second + " and " + place.machine);
+    violated("ran_twice", spec.id + "/" + std::to_string(task) + " on " + elsewhere->second +
+                              " and " + place.machine);
   job.on_machine[task] = place.machine;
   ++job.zones[place.zone];
   check_place(job, place);
   auto& used = team_used_[spec.team];
   used.add(spec.per_task);
-  if (used.cpus > experiment_.team_cpus_max + store::Resources::kSlack) violated("quota", spec.team);
+  if (used.cpus > experiment_.team_cpus_max + store::Resources::kSlack)
+    violated("quota", spec.team);
   if (job.cancel_told_at >= 0 && now - job.cancel_told_at > experiment_.platform.cancel_s)
     violated("ran_cancelled", spec.id + " starts");
   ++running_tasks;
@@ -54,10 +60,12 @@
   start_times.push_back(now);
   if (job.started[task]) return;
   job.started[task] = true;
-  start_waits[rank_name(spec.rank)].push_back(now - (job.accepted_at >= 0 ? job.accepted_at : job.submitted_at));
+  start_waits[rank_name(spec.rank)].push_back(
+      now - (job.accepted_at >= 0 ? job.accepted_at : job.submitted_at));
 }
 
-void JobBook::task_off_machine(Job& job, uint32_t task, const std::string& machine, const std::string& zone) {
+void JobBook::task_off_machine(Job& job, uint32_t task, const std::string& machine,
+                               const std::string& zone) {
   const auto it = job.on_machine.find(task);
   if (it == job.on_machine.end() || it->second != machine) return;
   job.on_machine.erase(it);
@@ -72,8 +80,8 @@
   if (++job.completed_tasks == job.spec.tasks) job.completed_at = now;
 }
 
-void JobBook::told(Job& job, int status, const std::string& state, bool sent_after_cancel, bool sent_after_done,
-                   double now) {
+void JobBook::told(Job& job, int status, const std::string& state, bool sent_after_cancel,
+                   bool sent_after_done, double now) {
   const auto& id = job.spec.id;
   if (status == 404 && job.accepted_at >= 0) violated("forgotten", id + " gets 404");
   if (status != 200) return;
@@ -97,7 +105,8 @@
 void JobBook::check_cancelled(double now) {
   for (auto it = cancelled_.begin(); it != cancelled_.end();) {
     const Job& job = jobs_.at(*it);
-    if (!job.on_machine.empty() && now - job.cancel_told_at > experiment_.platform.cancel_s) violated("ran_cancelled", *it);
+    if (!job.on_machine.empty() && now - job.cancel_told_at > experiment_.platform.cancel_s)
+      violated("ran_cancelled", *it);
     it = job.on_machine.empty() ? cancelled_.erase(it) : std::next(it);
   }
 }
--- a/bench/scale/jobs.h
+++ b/bench/scale/jobs.h
@@ -1,4 +1,5 @@
-// What is known of every job of a run, by users and workers together, and the protocol's rules over it.
+// What is known of every job of a run, by users and workers together, and the protocol's rules over
+// it.
 #pragma once
 #include <map>
 #include <optional>
@@ -13,7 +14,8 @@
 
 struct Job {
   store::JobSpec spec;
-  double submitted_at = 0, accepted_at = -1, completed_at = -1, done_told_at = -1, cancel_told_at = -1;
+  double submitted_at = 0, accepted_at = -1, completed_at = -1, done_told_at = -1,
+         cancel_told_at = -1;
   bool given_up = false;  // refused until its user gave up
   bool cancel_asked = false;
   std::vector<double> run_s;  // by task, as drawn
@@ -39,11 +41,13 @@
 
   // What workers see.
   void task_on_machine(Job& job, uint32_t task, const StartPlace& place, double now);
-  void task_off_machine(Job& job, uint32_t task, const std::string& machine, const std::string& zone);
+  void task_off_machine(Job& job, uint32_t task, const std::string& machine,
+                        const std::string& zone);
   void task_completed(Job& job, uint32_t task, double now);
 
   // What users are told.
-  void told(Job& job, int status, const std::string& state, bool sent_after_cancel, bool sent_after_done, double now);
+  void told(Job& job, int status, const std::string& state, bool sent_after_cancel,
+            bool sent_after_done, double now);
   void told_of_unknown(int status);
 
   /// Cancelled jobs that are on machines too long.
@@ -51,8 +55,9 @@
 
   std::vector<std::string> violations;
   size_t running_tasks = 0, starts = 0;
-  std::vector<double> start_times;                         // of each start
-  std::map<std::string, std::vector<double>> start_waits;  // by rank: from acceptance to a task's first start
+  std::vector<double> start_times;  // of each start
+  std::map<std::string, std::vector<double>>
+      start_waits;  // by rank: from acceptance to a task's first start
   const std::unordered_map<std::string, Job>& jobs() const { return jobs_; }
 
  private:
--- a/bench/scale/local_controller.cpp
+++ b/bench/scale/local_controller.cpp
@@ -51,8 +51,10 @@
   settings_.max_connections = 1000;
   state_.set_limits(settings_.value_kb, settings_.txn_ops);
   state_.set_history(10000);
-  state_.preset(store::types_key, Json{{"types", to_json(local_machine_types(options.gpu_machines))}});
-  core_ = std::make_unique<Core>(settings_, store::OperatorSettings{}, "incarnation", 1, LogLine::Level::error);
+  state_.preset(store::types_key,
+                Json{{"types", to_json(local_machine_types(options.gpu_machines))}});
+  core_ = std::make_unique<Core>(settings_, store::OperatorSettings{}, "incarnation", 1,
+                                 LogLine::Level::error);
 }
 
 std::string LocalController::machine_id(int number) {
@@ -88,7 +90,9 @@
   return worker;
 }
 
-void LocalController::submit(const store::JobSpec& spec) { handle(SubmitJob{next_request_++, spec}); }
+void LocalController::submit(const store::JobSpec& spec) {
+  handle(SubmitJob{next_request_++, spec});
+}
 
 void LocalController::handle(Command command) {
   commands_.push_back(std::move(command));
@@ -97,11 +101,13 @@
 
 void LocalController::work_off() {
   while (!commands_.empty())
-    for (auto& effect : core_->handle(commands_, Clock{now_, kWallOffset + now_})) carry_out(std::move(effect));
+    for (auto& effect : core_->handle(commands_, Clock{now_, kWallOffset + now_}))
+      carry_out(std::move(effect));
   if (!watch_ || std::get<Watch>(watch_->body).since >= state_.revision()) return;
   const Call call = std::move(*watch_);
   watch_.reset();
-  commands_.push_back(CallDone{call.id, 200, *state_.changes_since(std::get<Watch>(call.body).since)});
+  commands_.push_back(
+      CallDone{call.id, 200, *state_.changes_since(std::get<Watch>(call.body).since)});
   work_off();
 }
 
@@ -155,10 +161,12 @@
   Heartbeat& worker = workers_.at(command.address);
   worker.fencing_token = command.fencing_token;
   for (const auto& c : command.commands) {
-    const auto it = std::find_if(worker.tasks.begin(), worker.tasks.end(),
-                                 [&](const ReportedTask& t) { return t.job == c.job && t.task == c.task; });
+    const auto it =
+        std::find_if(worker.tasks.begin(), worker.tasks.end(),
+                     [&](const ReportedTask& t) { return t.job == c.job && t.task == c.task; });
     if (c.verb == WorkerVerb::start && it == worker.tasks.end()) {
-      worker.tasks.push_back({c.job, c.task, c.attempt, TaskState::running, ExitCause::none, false, false});
+      worker.tasks.push_back(
+          {c.job, c.task, c.attempt, TaskState::running, ExitCause::none, false, false});
     } else if (c.verb == WorkerVerb::forget && it != worker.tasks.end()) {
       worker.tasks.erase(it);
     } else if (c.verb == WorkerVerb::stop && it != worker.tasks.end()) {
--- a/bench/scale/local_controller.h
+++ b/bench/scale/local_controller.h
@@ -1,5 +1,5 @@
-// One controller's core in this process, with the state service's stand-in, machines that do what they are told, and no
-// network: for counting what a piece of work costs.
+// One controller's core in this process, with the state service's stand-in, machines that do what
+// they are told, and no network: for counting what a piece of work costs.
 #pragma once
 #include <deque>
 #include <map>
@@ -14,8 +14,9 @@
 class LocalController {
  public:
   struct Options {
-    int teams = 1;                 // which share the machines without a limit that matters
-    bool gpu_machines = false;     // every second machine is one with GPUs; else all are of one type of 6 CPUs
+    int teams = 1;  // which share the machines without a limit that matters
+    bool gpu_machines =
+        false;  // every second machine is one with GPUs; else all are of one type of 6 CPUs
     double writes_per_second = 0;  // of the state service; 0: enough
   };
   /// Machines stand in two zones.
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,5 +1,5 @@
-// rushtrestle_scale: plays real controllers against hollow workers, stand-ins of the state service and the cloud, and
-// users, all on this machine's loopback addresses, and prints what it measured.
+// rushtrestle_scale: plays real controllers against hollow workers, stand-ins of the state service
+// and the cloud, and users, all on this machine's loopback addresses, and prints what it measured.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -44,7 +44,8 @@
   try {
     const scale::Experiment experiment = scale::read_experiment(file);
     scale::Run run(experiment, controller);
-    spdlog::info("{}: {} controllers, {:.0f} s", experiment.name, experiment.platform.nodes, experiment.seconds);
+    spdlog::info("{}: {} controllers, {:.0f} s", experiment.name, experiment.platform.nodes,
+                 experiment.seconds);
     const store::Json report = run.play();
     const std::string text = scale::report_text(report);
     std::cout << text;
--- a/bench/scale/processes.cpp
+++ b/bench/scale/processes.cpp
@@ -46,11 +46,13 @@
 
 Controllers::Controllers(const Experiment& experiment, std::string program)
     : program_(std::move(program)), running_(static_cast<size_t>(experiment.platform.nodes)) {
-  if (access(program_.c_str(), X_OK) != 0) throw std::runtime_error("controller: cannot run " + program_);
+  if (access(program_.c_str(), X_OK) != 0)
+    throw std::runtime_error("controller: cannot run " + program_);
   char directory[] = "/tmp/rushtrestle-scale-XXXXXX";
   if (!mkdtemp(directory)) throw std::runtime_error("cannot make a directory in /tmp");
   directory_ = directory;
-  for (int i = 0; i < count(); ++i) std::ofstream(settings_file(i)) << controller_settings(experiment, i);
+  for (int i = 0; i < count(); ++i)
+    std::ofstream(settings_file(i)) << controller_settings(experiment, i);
 }
 
 Controllers::~Controllers() {
@@ -67,7 +69,8 @@
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     dup2(fd, STDERR_FILENO);
-    execl(program_.c_str(), program_.c_str(), "--config", settings_file(index).c_str(), static_cast<char*>(nullptr));
+    execl(program_.c_str(), program_.c_str(), "--config", settings_file(index).c_str(),
+          static_cast<char*>(nullptr));
     _exit(127);
   }
   running_[static_cast<size_t>(index)].pid = pid;
@@ -100,7 +103,8 @@
     std::string line, last;
     while (std::getline(log, line)) last = line;
     return controller_name(i) + " ended by itself" +
-           (WIFEXITED(status) ? " with status " + std::to_string(WEXITSTATUS(status)) : " by a signal") +
+           (WIFEXITED(status) ? " with status " + std::to_string(WEXITSTATUS(status))
+                              : " by a signal") +
            (last.empty() ? "" : ": " + last);
   }
   return "";
--- a/bench/scale/processes.h
+++ b/bench/scale/processes.h
@@ -39,7 +39,9 @@
     pid_t pid = 0;  // 0: not running
     ProcessUse earlier;
   };
-  std::string settings_file(int index) const { return directory_ + "/" + controller_name(index) + ".toml"; }
+  std::string settings_file(int index) const {
+    return directory_ + "/" + controller_name(index) + ".toml";
+  }
 
   std::string program_, directory_;
   std::vector<Process> running_;
--- a/bench/scale/report_text.cpp
+++ b/bench/scale/report_text.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// One line a value, with its place in the report; small objects on one line. What controllers tell is in the JSON only.
+/// One line a value, with its place in the report; small objects on one line. What controllers tell
+/// is in the JSON only.
 void print(const std::string& name, const Json& value, std::string& out) {
   constexpr size_t kOneLine = 110;
   const std::string text = value.dump();
@@ -15,7 +16,8 @@
     return;
   }
   for (const auto& [key, inner] : value.items())
-    if (key != "stats") print(name.empty() ? key : std::string(name).append(".").append(key), inner, out);
+    if (key != "stats")
+      print(name.empty() ? key : std::string(name).append(".").append(key), inner, out);
 }
 
 }  // namespace
--- a/bench/scale/run.cpp
+++ b/bench/scale/run.cpp
@@ -18,31 +18,38 @@
 constexpr double kSampleEvery = 0.5;
 constexpr double kCollectWithin = 3;
 constexpr double kRecoveredShare = 0.98;
-constexpr double kControllerBackAfter = 0.5;  // seconds after its end, unless the trouble says otherwise
-constexpr double kMostMemoryShare = 0.5;      // of the machine's, all processes together
+constexpr double kControllerBackAfter =
+    0.5;  // seconds after its end, unless the trouble says otherwise
+constexpr double kMostMemoryShare = 0.5;  // of the machine's, all processes together
 constexpr int kMostProcesses = 300;
 constexpr size_t kReplyLimit = size_t{8} << 20;
 constexpr double kMegabyte = 1024.0 * 1024.0;
 
 double machine_memory_mb() {
-  return static_cast<double>(sysconf(_SC_PHYS_PAGES)) * static_cast<double>(sysconf(_SC_PAGE_SIZE)) / kMegabyte;
+  return static_cast<double>(sysconf(_SC_PHYS_PAGES)) *
+         static_cast<double>(sysconf(_SC_PAGE_SIZE)) / kMegabyte;
 }
 
-/// Raises this process's limit of sockets to what it needs and says how many connections of controllers each worker may
-/// hold; throws when the machine does not allow the least.
+/// Raises this process's limit of sockets to what it needs and says how many connections of
+/// controllers each worker may hold; throws when the machine does not allow the least.
 size_t share_sockets(const Experiment& e) {
   rlim_t machines = 0;
-  for (const auto& pool : e.pools) machines += static_cast<rlim_t>(pool.capacity) * e.platform.zones.size();
-  constexpr rlim_t kOfWorker = 2, kOthers = 2500;  // a listener and one connection out, beside those of controllers
+  for (const auto& pool : e.pools)
+    machines += static_cast<rlim_t>(pool.capacity) * e.platform.zones.size();
+  constexpr rlim_t kOfWorker = 2,
+                   kOthers =
+                       2500;  // a listener and one connection out, beside those of controllers
   constexpr rlim_t kLeastConnections = 2, kMostConnections = 3;
-  const auto needed = [&](rlim_t connections) { return machines * (kOfWorker + connections) + kOthers; };
+  const auto needed = [&](rlim_t connections) {
+    return machines * (kOfWorker + connections) + kOthers;
+  };
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = std::min(limit.rlim_max, std::max(limit.rlim_cur, needed(kMostConnections)));
   setrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_cur < needed(kLeastConnections))
-    throw std::runtime_error("too few sockets: " + std::to_string(needed(kLeastConnections)) + " are needed, " +
-                             std::to_string(limit.rlim_cur) + " allowed");
+    throw std::runtime_error("too few sockets: " + std::to_string(needed(kLeastConnections)) +
+                             " are needed, " + std::to_string(limit.rlim_cur) + " allowed");
   return limit.rlim_cur < needed(kMostConnections) ? kLeastConnections : kMostConnections;
 }
 
@@ -50,7 +57,9 @@
   if (values.empty()) return {{"count", 0}};
   std::sort(values.begin(), values.end());
   const auto at = [&](double share) {
-    return std::round(1000 * values[static_cast<size_t>(share * static_cast<double>(values.size() - 1))]) / 1000;
+    return std::round(1000 *
+                      values[static_cast<size_t>(share * static_cast<double>(values.size() - 1))]) /
+           1000;
   };
   return {{"count", values.size()}, {"p50_s", at(0.5)}, {"p99_s", at(0.99)}, {"max_s", at(1)}};
 }
@@ -58,8 +67,10 @@
 /// Mean over the seconds in which anything started, and over the best ten seconds.
 Json rates(const std::vector<double>& times, double began_at, double ended_at) {
   constexpr size_t kBest = 10;
-  std::vector<double> by_second(static_cast<size_t>(std::max(1.0, std::ceil(ended_at - began_at))), 0);
-  for (const double t : times) by_second[std::min(by_second.size() - 1, static_cast<size_t>(t - began_at))] += 1;
+  std::vector<double> by_second(static_cast<size_t>(std::max(1.0, std::ceil(ended_at - began_at))),
+                                0);
+  for (const double t : times)
+    by_second[std::min(by_second.size() - 1, static_cast<size_t>(t - began_at))] += 1;
   double best = 0;
   for (size_t i = 0; i + kBest <= by_second.size(); ++i) {
     double sum = 0;
@@ -107,7 +118,8 @@
   double memory_mb = measure_process(getpid()).memory_mb + measure_process(state_pid_).memory_mb;
   for (int i = 0; i < controllers_.count(); ++i) memory_mb += controllers_.use(i).memory_mb;
   if (memory_mb > machine_memory_mb() * kMostMemoryShare)
-    fail("more than half of the machine's memory is in use: " + std::to_string(static_cast<int>(memory_mb)) + " MB");
+    fail("more than half of the machine's memory is in use: " +
+         std::to_string(static_cast<int>(memory_mb)) + " MB");
   jobs_.check_cancelled(event_loop_.now());
   if (!jobs_.violations.empty()) fail("a rule is broken: " + jobs_.violations.front());
 }
@@ -137,34 +149,41 @@
   r.healthy.assign(static_cast<size_t>(controllers_.count()), true);
   recoveries_.push_back(r);
   if (trouble.kind != TroubleKind::kill_controllers) return fleet_->trouble(trouble);
-  const int killed = std::max(1, static_cast<int>(std::round(trouble.share * controllers_.count())));
+  const int killed =
+      std::max(1, static_cast<int>(std::round(trouble.share * controllers_.count())));
   for (int i = 0; i < killed; ++i) {
     controllers_.kill(i);
     recoveries_.back().healthy[static_cast<size_t>(i)] = false;
-    event_loop_.after(std::max(trouble.for_s, kControllerBackAfter), [this, i, recovery = recoveries_.size() - 1] {
-      controllers_.start(i);
-      probe_health(recovery, i);
-    });
+    event_loop_.after(std::max(trouble.for_s, kControllerBackAfter),
+                      [this, i, recovery = recoveries_.size() - 1] {
+                        controllers_.start(i);
+                        probe_health(recovery, i);
+                      });
   }
 }
 
 void Run::probe_health(size_t recovery, int controller) {
-  get(controller_address(controller), "/up", [this, recovery, controller](int status, const std::string&) {
-    constexpr double kProbeEvery = 0.1;
-    if (status != 200) {
-      event_loop_.after(kProbeEvery, [this, recovery, controller] { probe_health(recovery, controller); });
-      return;
-    }
-    Recovery& r = recoveries_[recovery];
-    r.healthy[static_cast<size_t>(controller)] = true;
-    const double after = event_loop_.now() - r.began_at;
-    if (r.first_healthy_after < 0) r.first_healthy_after = after;
-    if (std::all_of(r.healthy.begin(), r.healthy.end(), [](bool h) { return h; })) r.all_healthy_after = after;
-  });
+  get(controller_address(controller), "/up",
+      [this, recovery, controller](int status, const std::string&) {
+        constexpr double kProbeEvery = 0.1;
+        if (status != 200) {
+          event_loop_.after(kProbeEvery,
+                            [this, recovery, controller] { probe_health(recovery, controller); });
+          return;
+        }
+        Recovery& r = recoveries_[recovery];
+        r.healthy[static_cast<size_t>(controller)] = true;
+        const double after = event_loop_.now() - r.began_at;
+        if (r.first_healthy_after < 0) r.first_healthy_after = after;
+        if (std::all_of(r.healthy.begin(), r.healthy.end(), [](bool h) { return h; }))
+          r.all_healthy_after = after;
+      });
 }
 
-void Run::get(const std::string& address, const std::string& path, std::function<void(int, const std::string&)> then) {
-  probes_.request(transport::parse_address(address), "GET", path, "", "application/json", kCollectWithin,
+void Run::get(const std::string& address, const std::string& path,
+              std::function<void(int, const std::string&)> then) {
+  probes_.request(transport::parse_address(address), "GET", path, "", "application/json",
+                  kCollectWithin,
                   [then = std::move(then)](int status, std::string&& body) { then(status, body); });
 }
 
@@ -176,10 +195,12 @@
     if (into.is_discarded()) into = nullptr;  // no answer
     if (--still_to_collect_ == 0) event_loop_.stop();
   };
-  get(kStateAddress, "/counters", [this, got](int, const std::string& body) { got(state_counters_, body); });
+  get(kStateAddress, "/counters",
+      [this, got](int, const std::string& body) { got(state_counters_, body); });
   for (int i = 0; i < controllers_.count(); ++i)
-    get(controller_address(i), "/stats",
-        [this, got, i](int, const std::string& body) { got(controller_stats_[static_cast<size_t>(i)], body); });
+    get(controller_address(i), "/stats", [this, got, i](int, const std::string& body) {
+      got(controller_stats_[static_cast<size_t>(i)], body);
+    });
 }
 
 Json Run::play() {
@@ -209,7 +230,8 @@
 }
 
 Json Run::troubles_report() const {
-  static constexpr const char* kNames[] = {"kill_workers", "cut_workers", "restart_workers", "kill_controllers"};
+  static constexpr const char* kNames[] = {"kill_workers", "cut_workers", "restart_workers",
+                                           "kill_controllers"};
   Json out = Json::array();
   for (const auto& r : recoveries_)
     out.push_back({{"kind", kNames[static_cast<size_t>(r.trouble.kind)]},
@@ -243,10 +265,14 @@
           {"seed", experiment_.seed},
           {"failure", failure_},
           {"violations", jobs_.violations},
-          {"starts", {{"count", jobs_.starts}, {"per_second", rates(jobs_.start_times, began_at_, event_loop_.now())}}},
+          {"starts",
+           {{"count", jobs_.starts},
+            {"per_second", rates(jobs_.start_times, began_at_, event_loop_.now())}}},
           {"wait_for_start_by_rank", std::move(waits)},
           {"running_tasks",
-           {{"most", most_running}, {"at_the_end", jobs_.running_tasks}, {"waiting_at_the_end", waiting_tasks}}},
+           {{"most", most_running},
+            {"at_the_end", jobs_.running_tasks},
+            {"waiting_at_the_end", waiting_tasks}}},
           {"jobs",
            {{"submitted", users.submitted},
             {"accepted", users.accepted},
@@ -265,12 +291,15 @@
             {"up_at_the_end", fleet_->up()},
             {"reports", traffic.reports},
             {"commands", traffic.commands},
-            {"bytes_sent_a_second_each", std::round(static_cast<double>(traffic.bytes_sent) / worker_seconds)},
-            {"bytes_received_a_second_each", std::round(static_cast<double>(traffic.bytes_received) / worker_seconds)},
+            {"bytes_sent_a_second_each",
+             std::round(static_cast<double>(traffic.bytes_sent) / worker_seconds)},
+            {"bytes_received_a_second_each",
+             std::round(static_cast<double>(traffic.bytes_received) / worker_seconds)},
             {"leases_lapsed", traffic.leases_lapsed},
             {"tasks_killed_by_lease", traffic.tasks_killed_by_lease}}},
           {"state_service", state_counters_},
-          {"stand_ins_cpu_share", measure_process(getpid()).cpu_s / std::max(1.0, event_loop_.now() - began_at_)},
+          {"stand_ins_cpu_share",
+           measure_process(getpid()).cpu_s / std::max(1.0, event_loop_.now() - began_at_)},
           {"troubles", troubles_report()},
           {"controllers", controllers_report()}};
 }
--- a/bench/scale/run.h
+++ b/bench/scale/run.h
@@ -26,7 +26,7 @@
     double began_at = 0;
     double running_before = 0;
     double lowest_share = 1;
-    double recovered_after = -1;                              // seconds until 0.98 of the tasks run again
+    double recovered_after = -1;  // seconds until 0.98 of the tasks run again
     double first_healthy_after = -1, all_healthy_after = -1;  // of controllers that were killed
     std::vector<bool> healthy;
   };
@@ -36,7 +36,8 @@
   void probe_health(size_t recovery, int controller);
   void fail(const std::string& why);
   void collect();
-  void get(const std::string& address, const std::string& path, std::function<void(int, const std::string&)> then);
+  void get(const std::string& address, const std::string& path,
+           std::function<void(int, const std::string&)> then);
   store::Json report() const;
   store::Json controllers_report() const;
   store::Json troubles_report() const;
--- a/bench/scale/state_server.cpp
+++ b/bench/scale/state_server.cpp
@@ -85,8 +85,8 @@
       return;
     }
     const CallDone done = service_.answer(Call{0, 0, std::move(*body)}, event_loop_.now());
-    event_loop_.after(latency_s_,
-                      [this, id, status = done.status, text = encode_state_reply(done)] { answer(id, status, text); });
+    event_loop_.after(latency_s_, [this, id, status = done.status,
+                                   text = encode_state_reply(done)] { answer(id, status, text); });
   }
 
   void answer_watches() {
@@ -160,7 +160,8 @@
   const bool listens = read(ready[0], &word, 1) == 1;
   close(ready[0]);
   if (!listens)
-    throw std::runtime_error(std::string("state service: cannot listen on ") + kStateAddress + ", is it in use?");
+    throw std::runtime_error(std::string("state service: cannot listen on ") + kStateAddress +
+                             ", is it in use?");
   return pid;
 }
 
--- a/bench/scale/state_server.h
+++ b/bench/scale/state_server.h
@@ -6,7 +6,8 @@
 
 namespace rushtrestle::scale {
 
-/// Forks a process that serves until it is killed, and waits until it listens. Throws std::runtime_error when it can't.
+/// Forks a process that serves until it is killed, and waits until it listens. Throws
+/// std::runtime_error when it can't.
 pid_t start_state_server(const Experiment& experiment);
 
 }  // namespace rushtrestle::scale
--- a/bench/scale/users.h
+++ b/bench/scale/users.h
@@ -1,4 +1,5 @@
-// Open-loop users: submissions, polls, cancellations and repeats, each to a controller drawn at random.
+// Open-loop users: submissions, polls, cancellations and repeats, each to a controller drawn at
+// random.
 #pragma once
 #include <random>
 
@@ -10,7 +11,8 @@
 
 class Users {
  public:
-  Users(transport::EventLoop& event_loop, JobBook& jobs, const Experiment& experiment, std::mt19937_64& random);
+  Users(transport::EventLoop& event_loop, JobBook& jobs, const Experiment& experiment,
+        std::mt19937_64& random);
 
   /// Arrivals begin.
   void start();
@@ -19,7 +21,8 @@
     uint64_t submitted = 0, accepted = 0, given_up = 0, repeated = 0;
     uint64_t requests = 0, answered = 0, refused = 0, unanswered = 0;  // refused: 429 and 503
     std::vector<double> acceptance_s;                                  // from the first attempt
-    std::vector<double> done_lag_s;  // from a job's last end until its user was told, of those that are followed
+    std::vector<double>
+        done_lag_s;  // from a job's last end until its user was told, of those that are followed
   };
   const Figures& figures() const { return figures_; }
 
@@ -34,9 +37,11 @@
   void follow_end(const std::string& id);
   void cancel(const std::string& id);
   void poll_unknown();
-  void ask(const std::string& method, const std::string& target, const std::string& body, double within_s,
-           const Answered& answered);
-  double draw(double from, double to) { return std::uniform_real_distribution<>(from, to)(random_); }
+  void ask(const std::string& method, const std::string& target, const std::string& body,
+           double within_s, const Answered& answered);
+  double draw(double from, double to) {
+    return std::uniform_real_distribution<>(from, to)(random_);
+  }
 
   transport::EventLoop& event_loop_;
   JobBook& jobs_;
--- a/bench/scale/wire.cpp
+++ b/bench/scale/wire.cpp
@@ -29,7 +29,9 @@
   return out;
 }
 
-Json entry(const store::Change& c) { return {{"k", c.key}, {"v", *c.value}, {"stamp", c.mod_revision}}; }
+Json entry(const store::Change& c) {
+  return {{"k", c.key}, {"v", *c.value}, {"stamp", c.mod_revision}};
+}
 
 struct ReplyBody {
   Json operator()(const TxnReply& r) const {
@@ -37,7 +39,9 @@
     if (!r.failed.empty()) j["failed"] = r.failed;
     return j;
   }
-  Json operator()(const KeyReply& r) const { return r.entry ? entry(*r.entry) : Json{{"epoch", r.revision}}; }
+  Json operator()(const KeyReply& r) const {
+    return r.entry ? entry(*r.entry) : Json{{"epoch", r.revision}};
+  }
   Json operator()(const ListKeysReply& r) const {
     Json entries = Json::array();
     for (const auto& e : r.entries) entries.push_back(entry(e));
@@ -82,26 +86,35 @@
 
 }  // namespace
 
-std::optional<CallBody> decode_state_request(const std::string& method, const std::string& target, const std::string& body) {
+std::optional<CallBody> decode_state_request(const std::string& method, const std::string& target,
+                                             const std::string& body) {
   const std::string path = target.substr(0, target.find('?'));
   if (method == "GET" && path == "/follow")
-    return Watch{std::stoull(query_value(target, "since")), std::stod(query_value(target, "holdMs")) / 1000};
-  if (method == "GET" && path == "/store") return ListKeys{query_value(target, "starts"), query_value(target, "since")};
-  if (method == "GET" && path.rfind("/store/", 0) == 0) return ReadKey{path.substr(std::string("/store/").size())};
+    return Watch{std::stoull(query_value(target, "since")),
+                 std::stod(query_value(target, "holdMs")) / 1000};
+  if (method == "GET" && path == "/store")
+    return ListKeys{query_value(target, "starts"), query_value(target, "since")};
+  if (method == "GET" && path.rfind("/store/", 0) == 0)
+    return ReadKey{path.substr(std::string("/store/").size())};
   const auto j = protocol::parse_cbor(body);
   if (method != "POST" || !j) return std::nullopt;
   if (path == "/txn") return transaction(*j);
   if (path == "/leases") return GrantLease{j->at("ttlMs").get<double>() / 1000};
-  if (path.rfind("/leases/", 0) == 0) return RenewLease{std::stoull(path.substr(std::string("/leases/").size()))};
+  if (path.rfind("/leases/", 0) == 0)
+    return RenewLease{std::stoull(path.substr(std::string("/leases/").size()))};
   return std::nullopt;
 }
 
-std::string encode_state_reply(const CallDone& done) { return protocol::to_cbor(std::visit(ReplyBody{}, done.reply)); }
+std::string encode_state_reply(const CallDone& done) {
+  return protocol::to_cbor(std::visit(ReplyBody{}, done.reply));
+}
 
 std::string encode_report(const Heartbeat& r) {
   Json chores = Json::array();
   for (const auto& t : r.tasks) {
-    Json j = {{"chore", t.job + "/" + std::to_string(t.task)}, {"try", t.attempt}, {"status", state_word(t)}};
+    Json j = {{"chore", t.job + "/" + std::to_string(t.task)},
+              {"try", t.attempt},
+              {"status", state_word(t)}};
     if (t.state == TaskState::exited) j["cause"] = cause_word(t.cause);
     if (t.saved) j["kept"] = true;
     chores.push_back(std::move(j));
@@ -123,7 +136,9 @@
   for (const auto& o : orders) {
     WorkerCommand c;
     const std::string verb = o.at("verb");
-    c.verb = verb == "run" ? WorkerVerb::start : verb == "kill" ? WorkerVerb::stop : WorkerVerb::forget;
+    c.verb = verb == "run"    ? WorkerVerb::start
+             : verb == "kill" ? WorkerVerb::stop
+                              : WorkerVerb::forget;
     protocol::parse_task_name(o.at("chore"), c.job, c.task);
     c.attempt = o.at("try");
     c.grace_s = o.value("leewayS", 0.0);
--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -7,15 +7,17 @@
 
 namespace rushtrestle::coordination {
 
-Core::Core(const store::Settings& settings, const store::OperatorSettings& operators, std::string incarnation, uint64_t seed,
-           LogLine::Level log_level)
+Core::Core(const store::Settings& settings, const store::OperatorSettings& operators,
+           std::string incarnation, uint64_t seed, LogLine::Level log_level)
     : context_(settings, operators, std::move(incarnation), seed),
       state_cache_(*this),
       state_store_(context_, state_cache_),
       membership_(context_, state_cache_, state_store_),
       arrival_forecast_(context_, state_cache_, membership_),
-      shard_controller_(context_, state_cache_, state_store_, membership_, images_, arrival_forecast_),
-      cluster_leader_(context_, state_cache_, state_store_, membership_, images_, arrival_forecast_),
+      shard_controller_(context_, state_cache_, state_store_, membership_, images_,
+                        arrival_forecast_),
+      cluster_leader_(context_, state_cache_, state_store_, membership_, images_,
+                      arrival_forecast_),
       job_service_(context_, state_cache_, state_store_, membership_) {
   context_.log_level = log_level;
   state_store_.on_lease_lost = [this] { membership_.on_lease_lost(); };
@@ -29,7 +31,9 @@
   shard_controller_.on_job_changed(id);
 }
 void Core::on_machine_changed(const std::string& id) { shard_controller_.on_machine_changed(id); }
-void Core::on_lease_holder_changed(const std::string& key) { membership_.on_lease_holder_changed(key); }
+void Core::on_lease_holder_changed(const std::string& key) {
+  membership_.on_lease_holder_changed(key);
+}
 
 PeerState Core::own_state() {
   PeerState s;
@@ -61,7 +65,9 @@
                    {"version", program_version()},
                    {"record_format", state_cache_.record_format()},
                    {"controllers", membership_.versions()}};
-  j["process"] = {{"lag_s", context_.lag}, {"cpu_s", context_.load.cpu_s}, {"memory_mb", context_.load.memory_mb}};
+  j["process"] = {{"lag_s", context_.lag},
+                  {"cpu_s", context_.load.cpu_s},
+                  {"memory_mb", context_.load.memory_mb}};
   j["known_jobs"] = state_cache_.known_jobs();
   j["owner"] = shard_controller_.stats();
   j["counters"] = context_.counters;
@@ -75,17 +81,23 @@
     void operator()(QueryJob&& c) { core.job_service_.query(c); }
     void operator()(CancelJob&& c) { core.job_service_.cancel(c); }
     void operator()(CheckHealth&& c) {
-      core.context_.out.push_back(AnswerUser{c.request, core.job_service_.healthy() ? 200 : 503, std::nullopt, 1});
+      core.context_.out.push_back(
+          AnswerUser{c.request, core.job_service_.healthy() ? 200 : 503, std::nullopt, 1});
+    }
+    void operator()(ShowStats&& c) {
+      core.context_.out.push_back(AnswerStats{c.request, core.stats()});
+    }
+    void operator()(HandleHeartbeat&& c) {
+      core.shard_controller_.handle_heartbeat(c.request, std::move(c.heartbeat));
     }
-    void operator()(ShowStats&& c) { core.context_.out.push_back(AnswerStats{c.request, core.stats()}); }
-    void operator()(HandleHeartbeat&& c) { core.shard_controller_.handle_heartbeat(c.request, std::move(c.heartbeat)); }
     void operator()(HandleForwardedHeartbeat&& c) {
       core.shard_controller_.handle_forwarded_heartbeat(c.request, c.heartbeat);
     }
     void operator()(HandlePeerState&& c) {
       core.membership_.on_peer_query(c.state);
       PeerState own = core.own_state();
-      if (c.state.acknowledged) own.offered_cancellations = core.membership_.offer_cancellations(c.state);
+      if (c.state.acknowledged)
+        own.offered_cancellations = core.membership_.offer_cancellations(c.state);
       core.context_.out.push_back(AnswerPeer{c.request, std::move(own)});
     }
     void operator()(CallDone&& c) { core.context_.returned(std::move(c)); }
@@ -97,8 +109,8 @@
 // A process that stood still, or gets too little processor time, comes late to what was due.
 void Core::measure_lag() {
   const double late = wakeup_at_ > 0 ? std::max(0.0, context_.now - wakeup_at_) : 0;
-  context_.lag =
-      std::max(late, context_.lag * std::exp2((handled_at_ - context_.now) / context_.settings.heartbeat_interval_s));
+  context_.lag = std::max(late, context_.lag * std::exp2((handled_at_ - context_.now) /
+                                                         context_.settings.heartbeat_interval_s));
   handled_at_ = context_.now;
 }
 
@@ -121,11 +133,13 @@
   return std::exchange(context_.out, {});
 }
 
-// With a tick every eightieth of report_s, two turns in five had nothing to do, and a turn costs as much as a message.
+// With a tick every eightieth of report_s, two turns in five had nothing to do, and a turn costs as
+// much as a message.
 double Core::next_wakeup() {
   const double shortest = context_.settings.heartbeat_interval_s / 80;
-  const double due = std::min({membership_.next_due(), job_service_.next_due(), shard_controller_.next_due(),
-                               cluster_leader_.next_due(), state_store_.next_due()});
+  const double due =
+      std::min({membership_.next_due(), job_service_.next_due(), shard_controller_.next_due(),
+                cluster_leader_.next_due(), state_store_.next_due()});
   wakeup_at_ = context_.now + std::clamp(due - context_.now, shortest, longest_sleep());
   return wakeup_at_;
 }
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -13,13 +13,13 @@
 
 class Core : private store::StateCache::Listener {
  public:
-  Core(const store::Settings& settings, const store::OperatorSettings& operators, std::string incarnation, uint64_t seed,
-       LogLine::Level log_level = LogLine::Level::error);
+  Core(const store::Settings& settings, const store::OperatorSettings& operators,
+       std::string incarnation, uint64_t seed, LogLine::Level log_level = LogLine::Level::error);
 
   /// Works off a batch of commands; the effects are to be carried out in order.
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock);
-  /// Steady time at which `handle` wants to be called again with a Tick, if no other command comes before. To be asked
-  /// after each call of `handle`.
+  /// Steady time at which `handle` wants to be called again with a Tick, if no other command comes
+  /// before. To be asked after each call of `handle`.
   double next_wakeup();
 
  private:
--- a/src/coordination/fleet/capacity_planner.cpp
+++ b/src/coordination/fleet/capacity_planner.cpp
@@ -13,17 +13,20 @@
 
 namespace {
 
-bool within(const store::Resources& used, const store::Resources& more, const store::Resources& quota) {
+bool within(const store::Resources& used, const store::Resources& more,
+            const store::Resources& quota) {
   return used.cpus + more.cpus <= quota.cpus + store::Resources::kSlack &&
          used.gpus + more.gpus <= quota.gpus + store::Resources::kSlack;
 }
 
 }  // namespace
 
-bool can_move(const store::JobSpec& spec) { return spec.kind == JobKind::service || spec.checkpoint_s > 0; }
+bool can_move(const store::JobSpec& spec) {
+  return spec.kind == JobKind::service || spec.checkpoint_s > 0;
+}
 
-bool overdue(const MachineRecord& machine, const store::StateCache& state_cache, const std::set<std::string>* up,
-             double wall) {
+bool overdue(const MachineRecord& machine, const store::StateCache& state_cache,
+             const std::set<std::string>* up, double wall) {
   const auto* type = state_cache.type(machine.type);
   const bool came_up = !machine.address.empty() || (up && up->count(machine.id) != 0);
   return type && !came_up && wall - machine.since > type->boot_s * Tunables::kBootUsual;
@@ -62,11 +65,12 @@
       if (a->spec.rank != b->spec.rank) return a->spec.rank > b->spec.rank;
       return a->submitted < b->submitted;
     });
-  production_waits_ = std::any_of(waiting_.begin(), waiting_.end(), [&](const auto* r) { return !preemptible(r->spec); });
+  production_waits_ = std::any_of(waiting_.begin(), waiting_.end(),
+                                  [&](const auto* r) { return !preemptible(r->spec); });
   if (logging_ && without.empty()) log_part();
   auto forecasts = arrival_forecast_.expected(shard_);
-  // A machine is emptied only where twice the usual spare room stays for work that can't use spot machines:
-  // else its like is rented again soon, and what a dead machine held finds no room.
+  // A machine is emptied only where twice the usual spare room stays for work that can't use spot
+  // machines: else its like is rented again soon, and what a dead machine held finds no room.
   constexpr int kStays = 2;
   if (!without.empty())
     for (auto& f : forecasts)
@@ -106,8 +110,10 @@
       team_used_[r.spec.team].add(r.spec.per_task);
     }
     const bool guest = context_.is_best_effort(r.spec.team);
-    if (r.spec.kind == JobKind::array) (guest ? guest_arrays_ : arrays_).running_tasks += r.running();
-    if (r.spec.per_task.gpus > 0) fit_.cpu_per_gpu = std::max(fit_.cpu_per_gpu, r.spec.per_task.cpus / r.spec.per_task.gpus);
+    if (r.spec.kind == JobKind::array)
+      (guest ? guest_arrays_ : arrays_).running_tasks += r.running();
+    if (r.spec.per_task.gpus > 0)
+      fit_.cpu_per_gpu = std::max(fit_.cpu_per_gpu, r.spec.per_task.cpus / r.spec.per_task.gpus);
     if (r.status == JobStatus::open && r.placed.size() - displaced + r.done.size() < r.spec.tasks)
       (guest ? waiting_guests_ : waiting_).push_back(&r);
   }
@@ -138,15 +144,18 @@
       if (const auto* type = state_cache_.type(kind.type))
         slots_.add({"", type, shared_zone(*type, kind.zone), kind.spot, type->size, true});
   slots_of_.clear();
-  for (size_t i = 0; i < slots_.size(); ++i) ++slots_of_[{slots_.at(i).type->name, *slots_.at(i).zone}];
+  for (size_t i = 0; i < slots_.size(); ++i)
+    ++slots_of_[{slots_.at(i).type->name, *slots_.at(i).zone}];
   existing_ = slots_.size();
   was_empty_.assign(existing_, false);
   for (size_t i = 0; i < existing_; ++i) was_empty_[i] = slots_.at(i).empty;
 }
 
-// The same room is held here as the shard leader will hold, or what it turns away would find nothing rented.
+// The same room is held here as the shard leader will hold, or what it turns away would find
+// nothing rented.
 void CapacityPlanner::hold_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts) {
-  for (const auto& f : forecasts) keep_headroom_for(fit_.reserve, f.shape, f.jobs * static_cast<double>(f.shape.tasks));
+  for (const auto& f : forecasts)
+    keep_headroom_for(fit_.reserve, f.shape, f.jobs * static_cast<double>(f.shape.tasks));
   for (const auto* r : waiting_) keep_headroom_for(fit_.reserve, r->spec, missing_tasks(*r));
 }
 
@@ -154,8 +163,9 @@
   for (const auto* r : jobs) plan_job(*r, plan);
 }
 
-// For best-effort teams that can wait, only spot machines are rented, and for none of them a machine whose GPUs would stand
-// idle: idle-time work on ordinary machines with GPUs cost forty times what it costs on the cheapest ones.
+// For best-effort teams that can wait, only spot machines are rented, and for none of them a
+// machine whose GPUs would stand idle: idle-time work on ordinary machines with GPUs cost forty
+// times what it costs on the cheapest ones.
 CapacityPlanner::Request CapacityPlanner::request_for(const JobRecord& job, uint32_t need) {
   Request request{job.spec, true, can_wait_for_spot(job, context_.settings, context_.wall), true};
   const bool guest = context_.is_best_effort(job.spec.team);
@@ -168,7 +178,8 @@
   // Work that ends by itself makes room: what gets its turn in time on the machines that are there
   // needs no new ones.
   ArrayTurns& arrays = guest ? guest_arrays_ : arrays_;
-  const double left = due_after_s(job.spec, context_.settings) - (context_.wall - job.submitted) - 1.3 * job.spec.estimate_s;
+  const double left = due_after_s(job.spec, context_.settings) - (context_.wall - job.submitted) -
+                      1.3 * job.spec.estimate_s;
   const double turns = arrays.running_tasks * std::max(0.0, left) / job.spec.estimate_s;
   arrays.backlog += need;
   request.may_rent = arrays.backlog > turns;
@@ -176,7 +187,8 @@
 }
 
 void CapacityPlanner::plan_job(const JobRecord& job, CapacityPlan& plan) {
-  constexpr uint32_t kMostTasks = 400;  // of one job in one plan: more machines than that come in steps
+  constexpr uint32_t kMostTasks =
+      400;  // of one job in one plan: more machines than that come in steps
   ZoneCounts zones;
   uint32_t placed = 0;
   for (const auto& p : job.placed) {
@@ -205,17 +217,20 @@
   return false;
 }
 
-// The first task of a job. Where thousands of jobs of a few shapes wait in vain, each of them was tried on every slot: only
-// what was rented since the last of its shape can make a difference, as other slots only lose room.
+// The first task of a job. Where thousands of jobs of a few shapes wait in vain, each of them was
+// tried on every slot: only what was rented since the last of its shape can make a difference, as
+// other slots only lose room.
 bool CapacityPlanner::put_first(const Request& request, ZoneCounts& zones, CapacityPlan& plan) {
   const auto& spec = request.spec;
   if (!within(team_used_[spec.team], spec.per_task, team_settings(spec.team).quota)) return false;
-  // What is held back for work with GPUs moves from slot to slot, and may let in later what it kept out.
+  // What is held back for work with GPUs moves from slot to slot, and may let in later what it kept
+  // out.
   const bool bound = fit_.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
   if (bound) return put(request, zones, plan);
-  const std::string shape = placement_shape(spec) + (spec.spread || spec.one_zone ? zones_shape(zones) : "") +
-                            (request.spot_only ? "|o" : "") + (request.may_rent ? "|r" : "") +
-                            (request.may_rent_gpus ? "|g" : "") + (request.idle_room_only ? "|i" : "");
+  const std::string shape =
+      placement_shape(spec) + (spec.spread || spec.one_zone ? zones_shape(zones) : "") +
+      (request.spot_only ? "|o" : "") + (request.may_rent ? "|r" : "") +
+      (request.may_rent_gpus ? "|g" : "") + (request.idle_room_only ? "|i" : "");
   auto& failure = failures_[shape];
   const bool tried = failure.slots_tried > 0 && !any_slot_may_take(request, failure.slots_tried);
   if (!tried && put(request, zones, plan)) {
@@ -228,7 +243,8 @@
 }
 
 // All of them, or nothing is taken and nothing wanted.
-bool CapacityPlanner::put_all(const Request& request, ZoneCounts zones, uint32_t tasks, CapacityPlan& plan) {
+bool CapacityPlanner::put_all(const Request& request, ZoneCounts zones, uint32_t tasks,
+                              CapacityPlan& plan) {
   const size_t changes_before = slots_.changes();
   const auto slots_of_before = slots_of_;
   const auto team_before = team_used_[request.spec.team];
@@ -247,25 +263,32 @@
   return true;
 }
 
-// A gang runs whole or not at all. The zone that is best for its first task may neither have nor get room for the rest,
-// and room that is held for a part of it is held in vain.
-void CapacityPlanner::put_gang(const Request& request, const ZoneCounts& zones, uint32_t tasks, CapacityPlan& plan) {
+// A gang runs whole or not at all. The zone that is best for its first task may neither have nor
+// get room for the rest, and room that is held for a part of it is held in vain.
+void CapacityPlanner::put_gang(const Request& request, const ZoneCounts& zones, uint32_t tasks,
+                               CapacityPlan& plan) {
   const auto& spec = request.spec;
   if (put_all(request, zones, tasks, plan) || !spec.one_zone || spec.zone || !zones.empty()) return;
   store::JobSpec bound = spec;
   for (const auto& zone : context_.settings.zones) {
     bound.zone = zone;
-    const Request in_zone{
-        bound, request.urgent, request.spot_only, request.may_rent, request.may_rent_gpus, request.idle_room_only};
+    const Request in_zone{bound,
+                          request.urgent,
+                          request.spot_only,
+                          request.may_rent,
+                          request.may_rent_gpus,
+                          request.idle_room_only};
     if (put_all(in_zone, zones, tasks, plan)) return;
   }
 }
 
 // Spare room for what arrives while a machine boots; first for what can run in fewest places.
-void CapacityPlanner::plan_spare(std::vector<ArrivalForecast::Forecast> forecasts, CapacityPlan& plan) {
+void CapacityPlanner::plan_spare(std::vector<ArrivalForecast::Forecast> forecasts,
+                                 CapacityPlan& plan) {
   fit_.reserve = {};
-  std::stable_sort(forecasts.begin(), forecasts.end(),
-                   [](const auto& a, const auto& b) { return a.shape.per_task.gpus > b.shape.per_task.gpus; });
+  std::stable_sort(forecasts.begin(), forecasts.end(), [](const auto& a, const auto& b) {
+    return a.shape.per_task.gpus > b.shape.per_task.gpus;
+  });
   for (const auto& f : forecasts)
     for (int i = 0; i < f.jobs; ++i) {
       ZoneCounts zones;
@@ -276,11 +299,13 @@
 
 void CapacityPlanner::note_unused(CapacityPlan& plan) const {
   for (size_t i = 0; i < existing_; ++i)
-    if (was_empty_[i] && slots_.at(i).empty && !slots_.at(i).machine.empty() && state_cache_.machine(slots_.at(i).machine))
+    if (was_empty_[i] && slots_.at(i).empty && !slots_.at(i).machine.empty() &&
+        state_cache_.machine(slots_.at(i).machine))
       plan.unused.push_back(slots_.at(i).machine);
 }
 
-void CapacityPlanner::note_unmet(const Request& request, const ZoneCounts& zones, CapacityPlan& plan) {
+void CapacityPlanner::note_unmet(const Request& request, const ZoneCounts& zones,
+                                 CapacityPlan& plan) {
   const auto& spec = request.spec;
   if (request.urgent && !request.spot_only &&
       within(team_used_[spec.team], spec.per_task, team_settings(spec.team).guarantee))
@@ -317,8 +342,8 @@
   return true;
 }
 
-const store::MachineType* CapacityPlanner::cheapest(const Request& request, const ZoneCounts& zones, bool with_gpus,
-                                                    MachineKind& kind) {
+const store::MachineType* CapacityPlanner::cheapest(const Request& request, const ZoneCounts& zones,
+                                                    bool with_gpus, MachineKind& kind) {
   const auto& spec = request.spec;
   const store::MachineType* best = nullptr;
   double best_cost = 0;
@@ -333,7 +358,8 @@
         const MachineKind candidate{t.name, zone, spot};
         if (outlook_.unavailable.count(candidate)) continue;
         // Zones take turns.
-        const double cost = (spot ? t.spot_price : t.price) / fitting * (1 + 0.001 * static_cast<double>(in_zone));
+        const double cost =
+            (spot ? t.spot_price : t.price) / fitting * (1 + 0.001 * static_cast<double>(in_zone));
         if (best && cost >= best_cost) continue;
         best = &t;
         kind = candidate;
@@ -344,7 +370,8 @@
   return best;
 }
 
-bool CapacityPlanner::rent_slot(const Request& request, const ZoneCounts& zones, bool with_gpus, CapacityPlan& plan) {
+bool CapacityPlanner::rent_slot(const Request& request, const ZoneCounts& zones, bool with_gpus,
+                                CapacityPlan& plan) {
   MachineKind kind;
   const auto* cheapest_type = cheapest(request, zones, with_gpus, kind);
   const auto* type = cheapest_type ? state_cache_.type(cheapest_type->name) : nullptr;
@@ -354,8 +381,9 @@
   slots_.add({"", type, &*zone, kind.spot, type->size, true});
   ++slots_of_[{type->name, kind.zone}];
   auto& wants = context_.is_best_effort(request.spec.team) ? plan.guest_wants : plan.wants;
-  auto want =
-      std::find_if(wants.begin(), wants.end(), [&](const MachineWant& w) { return w.shard == shard_ && w.kind == kind; });
+  auto want = std::find_if(wants.begin(), wants.end(), [&](const MachineWant& w) {
+    return w.shard == shard_ && w.kind == kind;
+  });
   if (want == wants.end()) want = wants.insert(wants.end(), MachineWant{shard_, kind});
   ++(request.urgent ? want->urgent : want->spare);
   if (request.urgent) want->rank = std::max(want->rank, request.spec.rank);
@@ -373,14 +401,16 @@
     waiting.add(r->spec.per_task, missing_tasks(*r));
     classes[r->spec.job_class] += static_cast<int>(missing_tasks(*r));
   }
-  std::string text = "part " + std::to_string(shard_) + ": " + std::to_string(existing_) + " machines, free " +
-                     std::to_string(static_cast<int>(free.cpus)) + " cpus " + std::to_string(static_cast<int>(free.gpus)) +
-                     " gpus; waiting " + std::to_string(static_cast<int>(waiting.cpus)) + " cpus " +
+  std::string text = "part " + std::to_string(shard_) + ": " + std::to_string(existing_) +
+                     " machines, free " + std::to_string(static_cast<int>(free.cpus)) + " cpus " +
+                     std::to_string(static_cast<int>(free.gpus)) + " gpus; waiting " +
+                     std::to_string(static_cast<int>(waiting.cpus)) + " cpus " +
                      std::to_string(static_cast<int>(waiting.gpus)) + " gpus";
   for (const auto& [name, n] : classes) text += ", " + name + " " + std::to_string(n);
   text += "; placed";
   for (const auto& [name, n] : placed_tasks_)
-    text += ", " + name + " " + std::to_string(n.ordinary) + " and " + std::to_string(n.spot) + " on spot machines";
+    text += ", " + name + " " + std::to_string(n.ordinary) + " and " + std::to_string(n.spot) +
+            " on spot machines";
   context_.info(std::move(text));
 }
 
--- a/src/coordination/fleet/capacity_planner.h
+++ b/src/coordination/fleet/capacity_planner.h
@@ -1,5 +1,6 @@
-// Works out, for one shard of the fleet, which machines its waiting and expected work lacks and which
-// of its machines nothing needs. Planning changes nothing: the cluster leader acts on the result.
+// Works out, for one shard of the fleet, which machines its waiting and expected work lacks and
+// which of its machines nothing needs. Planning changes nothing: the cluster leader acts on the
+// result.
 #pragma once
 #include <map>
 #include <set>
@@ -16,7 +17,8 @@
   std::string type;
   std::string zone;
   bool spot = false;
-  auto operator<=>(const MachineKind&) const = default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 reads a 0 here
+  auto operator<=>(const MachineKind&) const =
+      default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 reads a 0 here
 };
 
 /// Machines of one kind that a shard lacks.
@@ -38,8 +40,9 @@
 /// The plans of one or more parts.
 struct CapacityPlan {
   std::vector<MachineWant> wants;
-  std::vector<MachineWant> guest_wants;  // for teams without a guarantee: no reason to keep a machine
-  std::vector<std::string> unused;       // machines
+  std::vector<MachineWant>
+      guest_wants;                  // for teams without a guarantee: no reason to keep a machine
+  std::vector<std::string> unused;  // machines
   std::vector<UnmetDemand> unmet;
 };
 
@@ -57,13 +60,14 @@
 
 /// A machine that should have come up by now: it may never do so, and does not count as capacity.
 /// Its record may get its address late, so what the cloud says counts, too (`up`).
-bool overdue(const store::MachineRecord& machine, const store::StateCache& state_cache, const std::set<std::string>* up,
-             double wall);
+bool overdue(const store::MachineRecord& machine, const store::StateCache& state_cache,
+             const std::set<std::string>* up, double wall);
 
 class CapacityPlanner {
  public:
-  CapacityPlanner(Context& context, const store::StateCache& state_cache, const Membership& membership,
-                  const ArrivalForecast& demand, const CloudOutlook& outlook)
+  CapacityPlanner(Context& context, const store::StateCache& state_cache,
+                  const Membership& membership, const ArrivalForecast& demand,
+                  const CloudOutlook& outlook)
       : context_(context),
         state_cache_(state_cache),
         membership_(membership),
@@ -110,15 +114,18 @@
   Request request_for(const store::JobRecord& job, uint32_t need);
   void plan_job(const store::JobRecord& job, CapacityPlan& plan);
   bool put_all(const Request& request, ZoneCounts zones, uint32_t tasks, CapacityPlan& plan);
-  void put_gang(const Request& request, const ZoneCounts& zones, uint32_t tasks, CapacityPlan& plan);
+  void put_gang(const Request& request, const ZoneCounts& zones, uint32_t tasks,
+                CapacityPlan& plan);
   void plan_spare(std::vector<ArrivalForecast::Forecast> forecasts, CapacityPlan& plan);
   void note_unused(CapacityPlan& plan) const;
   bool put(const Request& request, ZoneCounts& zones, CapacityPlan& plan);
   bool put_first(const Request& request, ZoneCounts& zones, CapacityPlan& plan);
   void note_unmet(const Request& request, const ZoneCounts& zones, CapacityPlan& plan);
   bool any_slot_may_take(const Request& request, size_t from) const;
-  bool rent_slot(const Request& request, const ZoneCounts& zones, bool with_gpus, CapacityPlan& plan);
-  const store::MachineType* cheapest(const Request& request, const ZoneCounts& zones, bool with_gpus, MachineKind& kind);
+  bool rent_slot(const Request& request, const ZoneCounts& zones, bool with_gpus,
+                 CapacityPlan& plan);
+  const store::MachineType* cheapest(const Request& request, const ZoneCounts& zones,
+                                     bool with_gpus, MachineKind& kind);
   const store::TeamSettings& team_settings(const std::string& team) const;
   bool preemptible(const store::JobSpec& spec) const;
   void log_part() const;
@@ -137,11 +144,11 @@
   const std::set<std::string>* without_ = nullptr;
   SlotIndex slots_;
   std::map<std::pair<std::string, std::string>, int> slots_of_;  // number by type and zone
-  size_t existing_ = 0;                                          // the first slots_: machines that exist or were asked for
-  std::vector<bool> was_empty_;                                  // of these
-  std::map<std::string, store::Resources> used_;                 // by machine
-  std::set<std::string> pinned_;                                 // machines with work that may not be preempted
-  std::map<std::string, TaskCounts> placed_tasks_;               // by class
+  size_t existing_ = 0;          // the first slots_: machines that exist or were asked for
+  std::vector<bool> was_empty_;  // of these
+  std::map<std::string, store::Resources> used_;    // by machine
+  std::set<std::string> pinned_;                    // machines with work that may not be preempted
+  std::map<std::string, TaskCounts> placed_tasks_;  // by class
   std::map<std::string, store::Resources> team_used_;
   std::vector<const store::JobRecord*> waiting_;         // of teams with a guarantee
   std::vector<const store::JobRecord*> waiting_guests_;  // of the others
--- a/src/coordination/fleet/cluster_leader.cpp
+++ b/src/coordination/fleet/cluster_leader.cpp
@@ -52,7 +52,8 @@
     if (!r.in_flight && context_.now >= r.next_try && cloud_ready()) send_provisioning_request(r);
   if (!listing_ && context_.now >= next_list_ && cloud_ready()) list("");
   if (listed_once_ && context_.now >= next_plan_) {
-    next_plan_ = context_.now + context_.housekeeping_every(context_.settings.heartbeat_interval_s / 4);
+    next_plan_ =
+        context_.now + context_.housekeeping_every(context_.settings.heartbeat_interval_s / 4);
     plan();
   }
 }
@@ -70,7 +71,8 @@
   return due;
 }
 
-// Opens a record format once all controllers read it: from then on no older one serves. It is never taken back.
+// Opens a record format once all controllers read it: from then on no older one serves. It is never
+// taken back.
 void ClusterLeader::record_format() {
   if (recording_format_ || state_cache_.record_format() >= store::kRecordFormat ||
       !membership_.all_read(store::kRecordFormat))
@@ -141,7 +143,8 @@
       return;
     }
     listed_once_ = true;
-    next_list_ = context_.now + std::max(context_.settings.list_lag_s, context_.settings.lease_s / 2);
+    next_list_ =
+        context_.now + std::max(context_.settings.list_lag_s, context_.settings.lease_s / 2);
   });
 }
 
@@ -193,7 +196,8 @@
   w.cause = WriteCause::machine_rented;
   w.prepare = [this, id = r.id](Prepared& p) {
     const auto it = unrecorded_machines_.find(id);
-    if (it == unrecorded_machines_.end() || state_cache_.machine(id) || !membership_.leading()) return false;
+    if (it == unrecorded_machines_.end() || state_cache_.machine(id) || !membership_.leading())
+      return false;
     p.expected = 0;
     p.value = to_json(it->second);
     p.preconditions.push_back({store::leader_key, membership_.leader_revision()});
@@ -233,13 +237,15 @@
       if (const auto* m = state_cache_.machine(id)) unavailable_kinds_.erase(kind_of(m->record));
       WriteRequest w;
       w.key = store::machine_key(id);
-      // Work may wait for what ran on a machine that was marked for deletion; a released one was empty.
+      // Work may wait for what ran on a machine that was marked for deletion; a released one was
+      // empty.
       const auto* terminating = state_cache_.machine(id);
       const bool empty = terminating && terminating->record.phase == MachinePhase::released;
       w.cause = empty ? WriteCause::machine_deleted_empty : WriteCause::machine_deleted_with_tasks;
       w.prepare = [this, id](Prepared& p) {
         const auto* m = state_cache_.machine(id);
-        if (!m || m->record.phase == MachinePhase::deleted || !m->record.terminating() || !membership_.leading())
+        if (!m || m->record.phase == MachinePhase::deleted || !m->record.terminating() ||
+            !membership_.leading())
           return false;
         MachineRecord r = m->record;
         r.phase = MachinePhase::deleted;
@@ -294,13 +300,16 @@
       ++load.tasks;
       load.pinned |= !preemptible(r.spec);
     }
-    // What waits counts, too: machines that still boot for work beyond the guarantee are the cheapest to give.
-    if (r.status == JobStatus::open) used[r.spec.team].add(r.spec.per_task, r.spec.tasks - r.done.size());
+    // What waits counts, too: machines that still boot for work beyond the guarantee are the
+    // cheapest to give.
+    if (r.status == JobStatus::open)
+      used[r.spec.team].add(r.spec.per_task, r.spec.tasks - r.done.size());
   }
   for (const auto& [id, m] : state_cache_.present_machines())
     if (const auto* type = state_cache_.type(m->record.type); type && m->record.usable())
       l.capacity[m->record.shard] += type->size.cpus;
-  for (const auto& t : context_.settings.teams) l.guaranteed[membership_.shard_of_team(t.name)] += t.guarantee.cpus;
+  for (const auto& t : context_.settings.teams)
+    l.guaranteed[membership_.shard_of_team(t.name)] += t.guarantee.cpus;
   for (const auto& t : context_.settings.teams)
     if (used[t.name].cpus > t.guarantee.cpus + store::Resources::kSlack ||
         used[t.name].gpus > t.guarantee.gpus + store::Resources::kSlack)
@@ -308,15 +317,17 @@
   return l;
 }
 
-const MachineRecord* ClusterLeader::machine_to_reclaim(const UnmetDemand& u, ReclaimableCapacity& l) const {
+const MachineRecord* ClusterLeader::machine_to_reclaim(const UnmetDemand& u,
+                                                       ReclaimableCapacity& l) const {
   const MachineRecord* best = nullptr;
   int fewest = 0;
   for (const auto& [id, m] : state_cache_.present_machines()) {
     const auto& r = m->record;
     const auto* type = state_cache_.type(r.type);
-    if (!type || !r.usable() || r.shard == u.shard || !l.lenders.count(r.shard) || l.taken.count(id) ||
-        l.capacity[r.shard] - type->size.cpus < l.guaranteed[r.shard] || !type_allowed(u.spec, r.type) ||
-        !kind_allowed(u.spec, r.spot) || !zone_allowed(u.spec, r.zone, u.zones) || capacity_for(u.spec, *type) <= 0)
+    if (!type || !r.usable() || r.shard == u.shard || !l.lenders.count(r.shard) ||
+        l.taken.count(id) || l.capacity[r.shard] - type->size.cpus < l.guaranteed[r.shard] ||
+        !type_allowed(u.spec, r.type) || !kind_allowed(u.spec, r.spot) ||
+        !zone_allowed(u.spec, r.zone, u.zones) || capacity_for(u.spec, *type) <= 0)
       continue;
     const auto load = l.loads.find(id);
     if (load != l.loads.end() && load->second.pinned) continue;
@@ -330,17 +341,19 @@
 }
 
 // Exception to the design, which moves free machines only: where nothing is free and nothing can be
-// rented, a shard whose teams run beyond their guarantees gives up machines that hold only work that
-// may be stopped. Cause and figures: docs/design.md.
+// rented, a shard whose teams run beyond their guarantees gives up machines that hold only work
+// that may be stopped. Cause and figures: docs/design.md.
 void ClusterLeader::reclaim(const std::vector<UnmetDemand>& unmet) {
   if (unmet.empty() || !context_.operators.reclaim_guarantee) return;
   ReclaimableCapacity l = reclaimable_capacity();
   // What is already on its way counts, and only a few go at a time: the next plan sees the effect.
   std::map<int, int> coming;
   for (const auto& [id, m] : state_cache_.present_machines())
-    if (m->record.phase == MachinePhase::reassignment_requested && m->record.next_shard >= 0) coming[m->record.next_shard]++;
+    if (m->record.phase == MachinePhase::reassignment_requested && m->record.next_shard >= 0)
+      coming[m->record.next_shard]++;
   constexpr int kAtOnce = 2;
-  // Looked for once: with thousands of jobs of a few shapes waiting, all machines were looked at for each of them.
+  // Looked for once: with thousands of jobs of a few shapes waiting, all machines were looked at
+  // for each of them.
   std::set<std::pair<int, std::string>> in_vain;
   for (const auto& u : unmet) {
     if (coming[u.shard] >= kAtOnce) continue;
@@ -354,8 +367,9 @@
     l.taken.insert(best->id);
     ++coming[u.shard];
     context_.counters["guarantee_reclaims"]++;
-    context_.info("machine " + best->id + " with " + std::to_string(l.loads[best->id].tasks) + " tasks goes back to part " +
-                  std::to_string(u.shard) + ", whose team " + u.spec.team + " is within its guarantee");
+    context_.info("machine " + best->id + " with " + std::to_string(l.loads[best->id].tasks) +
+                  " tasks goes back to part " + std::to_string(u.shard) + ", whose team " +
+                  u.spec.team + " is within its guarantee");
     request_reassignment(best->id, u.shard, true);
   }
 }
@@ -393,8 +407,8 @@
   scale_in_idle(plan);
 }
 
-// The design's sharing: free machines go from shards that don't need them to shards that wait. In proportion
-// to waiting demand: whoever waits for most is served first, one machine each in turn.
+// The design's sharing: free machines go from shards that don't need them to shards that wait. In
+// proportion to waiting demand: whoever waits for most is served first, one machine each in turn.
 void ClusterLeader::reassign_unused(CapacityPlan& plan) {
   UnusedMachines unused(std::move(plan.unused), state_cache_);
   std::sort(plan.wants.begin(), plan.wants.end(),
@@ -421,7 +435,8 @@
   next_consolidated_ = (next_consolidated_ + 1) % membership_.shards();
   const int shard = next_consolidated_;
   consolidator_.note_attempts();
-  if (std::any_of(planned.unmet.begin(), planned.unmet.end(), [&](const UnmetDemand& u) { return u.shard == shard; }))
+  if (std::any_of(planned.unmet.begin(), planned.unmet.end(),
+                  [&](const UnmetDemand& u) { return u.shard == shard; }))
     return;
   const CloudOutlook known = outlook();  // with what was asked for just now
   CapacityPlanner planner(context_, state_cache_, membership_, arrival_forecast_, known);
@@ -443,7 +458,8 @@
     const auto& r = state_cache_.machine(id)->record;
     const auto* type = state_cache_.type(r.type);
     const double hold = type ? type->boot_s / 2 : kLeastChargeSeconds;
-    if (!wanted_kinds.count(kind_of(r)) && context_.now - idle[id] > hold && context_.wall - r.since > kLeastChargeSeconds &&
+    if (!wanted_kinds.count(kind_of(r)) && context_.now - idle[id] > hold &&
+        context_.wall - r.since > kLeastChargeSeconds &&
         context_.now - led_since_ > context_.settings.lease_s) {
       context_.info("machine " + id + " is needed no more");
       request_reassignment(id, -1);
@@ -452,10 +468,10 @@
   idle_since_ = std::move(idle);
 }
 
-// The cloud takes few calls. Queued by shard and machine, requests waited for minutes behind others for
-// kinds that the cloud had refused long since, and what was queued counted as capacity on its way. So
-// nothing is queued: each plan asks anew, once a kind of machine for all shards together, and what the
-// budget does not let out now is part of the next plan.
+// The cloud takes few calls. Queued by shard and machine, requests waited for minutes behind others
+// for kinds that the cloud had refused long since, and what was queued counted as capacity on its
+// way. So nothing is queued: each plan asks anew, once a kind of machine for all shards together,
+// and what the budget does not let out now is part of the next plan.
 void ClusterLeader::provision(std::vector<MachineWant> wants, std::vector<std::string> unused) {
   constexpr size_t kMost = 50;  // of one request, by the protocol
   struct Order {
@@ -467,7 +483,8 @@
   std::map<MachineKind, std::vector<MachineWant*>> by_kind;
   for (auto& w : wants) {
     // Machines that another shard does not need are shared, not rented anew; each counts once.
-    while (w.urgent + w.spare > 0 && shared.take(w.kind, w.shard)) (w.urgent > 0 ? w.urgent : w.spare)--;
+    while (w.urgent + w.spare > 0 && shared.take(w.kind, w.shard))
+      (w.urgent > 0 ? w.urgent : w.spare)--;
     if (w.urgent + w.spare > 0) by_kind[w.kind].push_back(&w);
   }
   std::vector<Order> orders;
@@ -497,8 +514,8 @@
     if (a.rank != b.rank) return a.rank > b.rank;
     return a.urgent.size() > b.urgent.size();
   });
-  // One request a plan and kind, of fifty machines, kept the budget of calls idle while thousands were wanted. Each kind
-  // has its first before another has its second.
+  // One request a plan and kind, of fifty machines, kept the budget of calls idle while thousands
+  // were wanted. Each kind has its first before another has its second.
   for (size_t from = 0, longest = 1; from < longest; from += kMost)
     for (const auto& o : orders) {
       std::vector<int> shards = o.urgent;
@@ -508,15 +525,16 @@
       if (!cloud_ready()) return;
       const auto first = shards.begin() + static_cast<long>(from);
       const auto last = shards.begin() + static_cast<long>(std::min(shards.size(), from + kMost));
-      provisioning_requests_.push_back({o.kind, std::vector<int>(first, last),
-                                        std::to_string(membership_.leader_revision()) + "-" + std::to_string(++requests_), 0,
-                                        false});
+      provisioning_requests_.push_back(
+          {o.kind, std::vector<int>(first, last),
+           std::to_string(membership_.leader_revision()) + "-" + std::to_string(++requests_), 0,
+           false});
       send_provisioning_request(provisioning_requests_.back());
     }
 }
 
-// What is free at the cloud changes seldom but by our own deletions: asked for ever more rarely, so that
-// refusals don't eat the budget of calls.
+// What is free at the cloud changes seldom but by our own deletions: asked for ever more rarely, so
+// that refusals don't eat the budget of calls.
 void ClusterLeader::on_kind_unavailable(const MachineKind& kind) {
   auto& r = unavailable_kinds_[kind];
   r.pause = std::clamp(r.pause * 2, context_.settings.lease_s / 2, context_.settings.lease_s * 4);
@@ -526,42 +544,46 @@
 void ClusterLeader::send_provisioning_request(ProvisioningRequest& r) {
   r.in_flight = true;
   cloud_budget_.take(1);
-  context_.call(ProvisionMachines{r.request, r.kind.type, r.kind.zone, r.kind.spot, static_cast<int>(r.shards.size())},
-                context_.settings.lease_s / 3, [this, request_id = r.request](CallDone&& d) {
-                  const auto request = std::find_if(provisioning_requests_.begin(), provisioning_requests_.end(),
-                                                    [&](const ProvisioningRequest& x) { return x.request == request_id; });
-                  if (request == provisioning_requests_.end())
-                    return;  // led by then by another: its list brings the machines
-                  request->in_flight = false;
-                  const auto* reply = std::get_if<ProvisionReply>(&d.reply);
-                  if (d.status == 200 && reply) {
-                    context_.info("rented " + std::to_string(reply->machines.size()) + " of " +
-                                  std::to_string(request->shards.size()) + " " + request->kind.type + " in " +
-                                  request->kind.zone + (request->kind.spot ? " (spot)" : ""));
-                    for (size_t i = 0; i < reply->machines.size() && i < request->shards.size(); ++i) {
-                      MachineRecord m;
-                      m.id = reply->machines[i];
-                      m.type = request->kind.type;
-                      m.zone = request->kind.zone;
-                      m.spot = request->kind.spot;
-                      m.shard = request->shards[i];
-                      m.since = context_.wall;
-                      record_machine(m);
-                    }
-                    if (reply->machines.size() < request->shards.size()) {
-                      on_kind_unavailable(request->kind);
-                    } else {
-                      unavailable_kinds_.erase(request->kind);
-                    }
-                    provisioning_requests_.erase(request);
-                  } else if (d.status == 0 || d.status == 429) {
-                    request->next_try = context_.now + context_.jitter(context_.settings.heartbeat_interval_s /
-                                                                       2);  // same request: at most once
-                  } else {
-                    on_kind_unavailable(request->kind);
-                    provisioning_requests_.erase(request);
-                  }
-                });
+  context_.call(
+      ProvisionMachines{r.request, r.kind.type, r.kind.zone, r.kind.spot,
+                        static_cast<int>(r.shards.size())},
+      context_.settings.lease_s / 3, [this, request_id = r.request](CallDone&& d) {
+        const auto request =
+            std::find_if(provisioning_requests_.begin(), provisioning_requests_.end(),
+                         [&](const ProvisioningRequest& x) { return x.request == request_id; });
+        if (request == provisioning_requests_.end())
+          return;  // led by then by another: its list brings the machines
+        request->in_flight = false;
+        const auto* reply = std::get_if<ProvisionReply>(&d.reply);
+        if (d.status == 200 && reply) {
+          context_.info("rented " + std::to_string(reply->machines.size()) + " of " +
+                        std::to_string(request->shards.size()) + " " + request->kind.type + " in " +
+                        request->kind.zone + (request->kind.spot ? " (spot)" : ""));
+          for (size_t i = 0; i < reply->machines.size() && i < request->shards.size(); ++i) {
+            MachineRecord m;
+            m.id = reply->machines[i];
+            m.type = request->kind.type;
+            m.zone = request->kind.zone;
+            m.spot = request->kind.spot;
+            m.shard = request->shards[i];
+            m.since = context_.wall;
+            record_machine(m);
+          }
+          if (reply->machines.size() < request->shards.size()) {
+            on_kind_unavailable(request->kind);
+          } else {
+            unavailable_kinds_.erase(request->kind);
+          }
+          provisioning_requests_.erase(request);
+        } else if (d.status == 0 || d.status == 429) {
+          request->next_try =
+              context_.now + context_.jitter(context_.settings.heartbeat_interval_s /
+                                             2);  // same request: at most once
+        } else {
+          on_kind_unavailable(request->kind);
+          provisioning_requests_.erase(request);
+        }
+      });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/cluster_leader.h
+++ b/src/coordination/fleet/cluster_leader.h
@@ -13,8 +13,8 @@
 
 class ClusterLeader {
  public:
-  ClusterLeader(Context& context, store::StateCache& state_cache, StateStoreClient& state_store, Membership& membership,
-                const ImageCaches& images, const ArrivalForecast& demand)
+  ClusterLeader(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
+                Membership& membership, const ImageCaches& images, const ArrivalForecast& demand)
       : context_(context),
         state_cache_(state_cache),
         state_store_(state_store),
@@ -23,7 +23,8 @@
         consolidator_(context, state_cache, membership, images) {}
 
   void tick();
-  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as the cloud's budget allows.
+  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as the
+  /// cloud's budget allows.
   double next_due() const;
 
  private:
@@ -61,7 +62,8 @@
   void consolidate(const CapacityPlan& planned);
   void scale_in_idle(const CapacityPlan& plan);
   ReclaimableCapacity reclaimable_capacity() const;
-  const store::MachineRecord* machine_to_reclaim(const UnmetDemand& u, ReclaimableCapacity& l) const;
+  const store::MachineRecord* machine_to_reclaim(const UnmetDemand& u,
+                                                 ReclaimableCapacity& l) const;
   void reclaim(const std::vector<UnmetDemand>& unmet);
   void provision(std::vector<MachineWant> wants, std::vector<std::string> unused);
   void send_provisioning_request(ProvisioningRequest& r);
@@ -95,8 +97,9 @@
   uint64_t requests_ = 0;
   std::vector<store::MachineType> prices_;
   std::vector<ProvisioningRequest> provisioning_requests_;
-  std::map<std::string, store::MachineRecord> unrecorded_machines_;  // rented, record not durable yet
-  std::set<std::string> up_;                                         // listed as running since we lead
+  std::map<std::string, store::MachineRecord>
+      unrecorded_machines_;   // rented, record not durable yet
+  std::set<std::string> up_;  // listed as running since we lead
   std::map<MachineKind, Refused> unavailable_kinds_;
   std::map<std::string, double> idle_since_;
   std::map<std::string, double> reassignment_requested_at_;
--- a/src/coordination/fleet/consolidator.h
+++ b/src/coordination/fleet/consolidator.h
@@ -10,10 +10,11 @@
 
 namespace rushtrestle::coordination {
 
-// Services leave holes that nothing fills: the machine that pays least for itself is emptied, if what it
-// holds, what waits and what is expected all fit on the others. A replica is away for the fraction of a
-// second that its stop and start take; so only replicas that have run for a while are moved, off a few
-// machines a shard at a time. Work that would be lost is left to its end, with nothing new beside it.
+// Services leave holes that nothing fills: the machine that pays least for itself is emptied, if
+// what it holds, what waits and what is expected all fit on the others. A replica is away for the
+// fraction of a second that its stop and start take; so only replicas that have run for a while are
+// moved, off a few machines a shard at a time. Work that would be lost is left to its end, with
+// nothing new beside it.
 class Consolidator {
  public:
   Consolidator(Context& context, const store::StateCache& state_cache, const Membership& membership,
@@ -24,7 +25,8 @@
   /// To be called before each choice: remembers how far each job's attempts have come.
   void note_attempts();
   /// Machines of the shard to be emptied now. `planned` is the plan with all its machines.
-  std::vector<std::string> machines_to_empty(int shard, const CapacityPlan& planned, CapacityPlanner& planner);
+  std::vector<std::string> machines_to_empty(int shard, const CapacityPlan& planned,
+                                             CapacityPlanner& planner);
 
  private:
   struct Load {
@@ -40,15 +42,17 @@
 
   Loads loads_of(int shard) const;
   bool settled(const store::JobRecord& r, const store::Placement& p) const;
-  bool has_target(const store::JobSpec& spec, const std::string& from, int shard, const Loads& loads,
-                  const std::set<std::string>& emptied) const;
-  std::vector<std::string> candidates(int shard, const Loads& loads, const CapacityPlan& planned) const;
+  bool has_target(const store::JobSpec& spec, const std::string& from, int shard,
+                  const Loads& loads, const std::set<std::string>& emptied) const;
+  std::vector<std::string> candidates(int shard, const Loads& loads,
+                                      const CapacityPlan& planned) const;
 
   Context& context_;
   const store::StateCache& state_cache_;
   const Membership& membership_;
   const ImageCaches& images_;
-  // By job: how far its attempts had come, and when that was seen. A record tells only its last start.
+  // By job: how far its attempts had come, and when that was seen. A record tells only its last
+  // start.
   std::map<std::string, std::deque<AttemptsSeen>> attempts_seen_;
 };
 
--- a/src/coordination/fleet/orphan_adoption.cpp
+++ b/src/coordination/fleet/orphan_adoption.cpp
@@ -5,13 +5,15 @@
 namespace rushtrestle::coordination {
 
 namespace {
-// A machine weighs more than any difference of guarantees, so that each shard with teams gets its turn.
+// A machine weighs more than any difference of guarantees, so that each shard with teams gets its
+// turn.
 constexpr double kMachineWeight = 1e6 / 64;
 }  // namespace
 
 AdoptionShares::Load AdoptionShares::count(const std::string& type) const {
   Load load;
-  for (const auto& team : context_.settings.teams) load[membership_.shard_of_team(team.name)] -= team.guarantee.cpus;
+  for (const auto& team : context_.settings.teams)
+    load[membership_.shard_of_team(team.name)] -= team.guarantee.cpus;
   const auto add = [&](const store::MachineRecord& machine) {
     const auto shard = load.find(machine.shard);
     if (machine.type == type && shard != load.end()) shard->second += kMachineWeight;
@@ -26,8 +28,8 @@
   auto known = loads_.find(type);
   if (known == loads_.end()) known = loads_.emplace(type, count(type)).first;
   Load& load = known->second;
-  const auto lowest =
-      std::min_element(load.begin(), load.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
+  const auto lowest = std::min_element(
+      load.begin(), load.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
   if (lowest == load.end()) return 0;
   lowest->second += kMachineWeight;
   return lowest->first;
--- a/src/coordination/fleet/orphan_adoption.h
+++ b/src/coordination/fleet/orphan_adoption.h
@@ -8,16 +8,17 @@
 
 namespace rushtrestle::coordination {
 
-/// Chooses the shard that gets a machine which the cloud lists and the state cache does not have: the one with the most
-/// work, by its teams' guarantees, for the machines of that type which it has. The counts are taken once and kept up to
-/// date: taken for each machine, a fleet that was adopted whole took the square of its size.
+/// Chooses the shard that gets a machine which the cloud lists and the state cache does not have:
+/// the one with the most work, by its teams' guarantees, for the machines of that type which it
+/// has. The counts are taken once and kept up to date: taken for each machine, a fleet that was
+/// adopted whole took the square of its size.
 class AdoptionShares {
  public:
   using Fresh = std::map<std::string, store::MachineRecord>;  // rented, record not durable yet
 
   /// The arguments must outlive this object.
-  AdoptionShares(const Context& context, const store::StateCache& state_cache, const Membership& membership,
-                 const Fresh& fresh)
+  AdoptionShares(const Context& context, const store::StateCache& state_cache,
+                 const Membership& membership, const Fresh& fresh)
       : context_(context), state_cache_(state_cache), membership_(membership), fresh_(fresh) {}
 
   /// The part of the next machine of this type, which counts as given to it.
--- a/src/coordination/fleet/unused_machines.cpp
+++ b/src/coordination/fleet/unused_machines.cpp
@@ -4,7 +4,8 @@
 
 namespace rushtrestle::coordination {
 
-UnusedMachines::UnusedMachines(std::vector<std::string> machines, const store::StateCache& state_cache)
+UnusedMachines::UnusedMachines(std::vector<std::string> machines,
+                               const store::StateCache& state_cache)
     : machines_(std::move(machines)) {
   for (size_t i = 0; i < machines_.size(); ++i) {
     const auto* machine = state_cache.machine(machines_[i]);
@@ -20,7 +21,8 @@
   if (of_kind == places_.end()) return std::nullopt;
   std::deque<size_t>* first = nullptr;
   for (auto& [shard, places] : of_kind->second)
-    if (shard != other_than_shard && !places.empty() && (!first || places.front() < first->front())) first = &places;
+    if (shard != other_than_shard && !places.empty() && (!first || places.front() < first->front()))
+      first = &places;
   if (!first) return std::nullopt;
   const size_t place = first->front();
   first->pop_front();
--- a/src/coordination/fleet/unused_machines.h
+++ b/src/coordination/fleet/unused_machines.h
@@ -11,8 +11,8 @@
 
 namespace rushtrestle::coordination {
 
-/// Hands out machines of a kind, the first of the plan first. Indexed: to look through all of them for each machine that
-/// another shard wants took the square of the fleet.
+/// Hands out machines of a kind, the first of the plan first. Indexed: to look through all of them
+/// for each machine that another shard wants took the square of the fleet.
 class UnusedMachines {
  public:
   /// Machines that the state cache does not have are left out.
@@ -25,7 +25,8 @@
 
  private:
   std::vector<std::string> machines_;
-  std::map<MachineKind, std::map<int, std::deque<size_t>>> places_;  // in `machines_`, by kind and part
+  std::map<MachineKind, std::map<int, std::deque<size_t>>>
+      places_;  // in `machines_`, by kind and part
   std::set<size_t> left_;
 };
 
--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -14,7 +14,8 @@
   AnswerUser a{r, status, std::nullopt, 0};
   if (const auto* job = id.empty() ? nullptr : state_cache_.job(id)) {
     const auto& rec = job->record;
-    a.job = JobView{id, rec.status, rec.done.size(), rec.status == JobStatus::open ? rec.running() : 0};
+    a.job =
+        JobView{id, rec.status, rec.done.size(), rec.status == JobStatus::open ? rec.running() : 0};
   } else if (const auto* finished = state_cache_.finished_job(id)) {
     a.job = JobView{id, finished->status, finished->tasks_done, 0};
   }
@@ -56,12 +57,14 @@
   if (team == context_.settings.teams.end()) return false;
   store::Resources need;
   need.add(s.per_task, s.kind == JobKind::array ? 1 : s.tasks);
-  if (need.cpus > team->quota.cpus + store::Resources::kSlack || need.gpus > team->quota.gpus + store::Resources::kSlack)
+  if (need.cpus > team->quota.cpus + store::Resources::kSlack ||
+      need.gpus > team->quota.gpus + store::Resources::kSlack)
     return false;
-  return std::any_of(state_cache_.types().begin(), state_cache_.types().end(), [&](const store::MachineType& t) {
-    return type_allowed(s, t.name) && s.per_task.fits(t.size) &&
-           (!s.zone || std::find(t.zones.begin(), t.zones.end(), *s.zone) != t.zones.end());
-  });
+  return std::any_of(
+      state_cache_.types().begin(), state_cache_.types().end(), [&](const store::MachineType& t) {
+        return type_allowed(s, t.name) && s.per_task.fits(t.size) &&
+               (!s.zone || std::find(t.zones.begin(), t.zones.end(), *s.zone) != t.zones.end());
+      });
 }
 
 void JobService::submit(SubmitJob&& s) {
@@ -71,7 +74,8 @@
   if (state_store_.disconnected() || state_cache_.types().empty()) return refuse(s.request, 1);
   if (state_cache_.knows_job(id)) {
     const RequestId r = s.request;
-    state_store_.wait_for_read_barrier([this, r, id](bool ok) { ok ? answer(r, 200, id) : refuse(r, 1); });
+    state_store_.wait_for_read_barrier(
+        [this, r, id](bool ok) { ok ? answer(r, 200, id) : refuse(r, 1); });
     return;
   }
   if (!can_ever_run(s.spec)) {
@@ -89,7 +93,8 @@
   }
   const double delay = state_store_.accept_delay(s.spec.rank);
   if (delay > context_.tunables.user_wait_s / 2) return refuse(s.request, delay);
-  pending_[s.request] = {Kind::submit, id, std::move(s.spec), context_.now + context_.tunables.user_wait_s};
+  pending_[s.request] = {Kind::submit, id, std::move(s.spec),
+                         context_.now + context_.tunables.user_wait_s};
   write_submit(s.request);
 }
 
@@ -135,7 +140,8 @@
 void JobService::query(const QueryJob& q) {
   context_.counters["polls"]++;
   if (answer_if_final(q.request, q.id)) return;
-  // Told at once, as the answer would come too late. Not sooner: a job that nothing can be learnt of is forgotten.
+  // Told at once, as the answer would come too late. Not sooner: a job that nothing can be learnt
+  // of is forgotten.
   if (context_.lag > context_.tunables.shed_polls_lag_s) {
     context_.counters["polls_shed"]++;
     return refuse(q.request, 1 + context_.lag);
@@ -183,10 +189,11 @@
   state_store_.write(std::move(w));
 }
 
-// A record that was stored under a larger limit can't be written again before enough of its tasks have ended, and its
-// user waited for that. The cancellation gets a key of its own, once every controller reads such keys
-// (ClusterLeader::record_format). It holds only while the record stands as it was read, and the shard leader's writes of
-// such a record hold only while there is no cancellation beside it; so one of the two is first, for everybody.
+// A record that was stored under a larger limit can't be written again before enough of its tasks
+// have ended, and its user waited for that. The cancellation gets a key of its own, once every
+// controller reads such keys (ClusterLeader::record_format). It holds only while the record stands
+// as it was read, and the shard leader's writes of such a record hold only while there is no
+// cancellation beside it; so one of the two is first, for everybody.
 void JobService::write_cancel_beside(RequestId r) {
   const std::string id = pending_.at(r).id;
   WriteRequest w;
@@ -194,7 +201,8 @@
   w.cause = WriteCause::cancellation;
   w.prepare = [this, r, id](Prepared& p) {
     const auto* durable = state_cache_.job(id);
-    if (!pending_.count(r) || !durable || durable->record.final_state() || !state_store_.oversized(to_json(durable->record)))
+    if (!pending_.count(r) || !durable || durable->record.final_state() ||
+        !state_store_.oversized(to_json(durable->record)))
       return false;
     p.expected = 0;
     p.value = store::Json{{"at", context_.wall}};
@@ -208,8 +216,8 @@
 void JobService::cancel_written(RequestId r, const std::string& id, WriteOutcome outcome) {
   if (!pending_.count(r)) return;
   if (final_state(id)) return settle(r, 200);
-  const bool again =
-      outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled || outcome == WriteOutcome::skipped;
+  const bool again = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
+                     outcome == WriteOutcome::skipped;
   if (again && !state_store_.disconnected()) return write_cancel(r);
   settle(r, 503);
 }
--- a/src/coordination/jobs/job_service.h
+++ b/src/coordination/jobs/job_service.h
@@ -10,8 +10,12 @@
 
 class JobService {
  public:
-  JobService(Context& context, store::StateCache& state_cache, StateStoreClient& state_store, Membership& membership)
-      : context_(context), state_cache_(state_cache), state_store_(state_store), membership_(membership) {}
+  JobService(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
+             Membership& membership)
+      : context_(context),
+        state_cache_(state_cache),
+        state_store_(state_store),
+        membership_(membership) {}
 
   void submit(SubmitJob&& s);
   void query(const QueryJob& q);
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -11,7 +11,8 @@
 using store::leader_key;
 using store::shard_key;
 
-Membership::Membership(Context& context, store::StateCache& state_cache, StateStoreClient& state_store)
+Membership::Membership(Context& context, store::StateCache& state_cache,
+                       StateStoreClient& state_store)
     : context_(context), state_cache_(state_cache), state_store_(state_store) {
   nodes_.push_back(context_.settings.node);
   for (const auto& p : context_.settings.peers) {
@@ -46,7 +47,8 @@
 }
 
 bool Membership::peer_hears(const std::string& machine) const {
-  return std::any_of(peers_.begin(), peers_.end(), [&](const Peer& p) { return fresh(p) && p.hears.count(machine) != 0; });
+  return std::any_of(peers_.begin(), peers_.end(),
+                     [&](const Peer& p) { return fresh(p) && p.hears.count(machine) != 0; });
 }
 
 bool Membership::leads_a_shard(const std::string& node) const {
@@ -76,17 +78,20 @@
 }
 
 bool Membership::outage_shared() const {
-  return !peers_.empty() &&
-         std::all_of(peers_.begin(), peers_.end(), [&](const Peer& p) { return fresh(p) && !p.state.has_state_store; });
+  return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const Peer& p) {
+    return fresh(p) && !p.state.has_state_store;
+  });
 }
 
 bool Membership::all_read(uint64_t record_format) const {
-  return std::all_of(peers_.begin(), peers_.end(),
-                     [&](const Peer& p) { return fresh(p) && p.state.record_format >= record_format; });
+  return std::all_of(peers_.begin(), peers_.end(), [&](const Peer& p) {
+    return fresh(p) && p.state.record_format >= record_format;
+  });
 }
 
 store::Json Membership::versions() const {
-  store::Json out = {{context_.settings.node, {{"version", program_version()}, {"record_format", store::kRecordFormat}}}};
+  store::Json out = {{context_.settings.node,
+                      {{"version", program_version()}, {"record_format", store::kRecordFormat}}}};
   for (const auto& p : peers_) {
     auto& entry = out[p.settings.node];
     entry["heard"] = fresh(p);
@@ -97,13 +102,16 @@
   return out;
 }
 
-// Every cancellation that any user was told of before this time is known here: by our state cache, or because the
-// controller that told it has handed over all that it knows. Not the time of the last contact with the state
-// service: renewals may succeed while changes, cancellations among them, don't come.
+// Every cancellation that any user was told of before this time is known here: by our state cache,
+// or because the controller that told it has handed over all that it knows. Not the time of the
+// last contact with the state service: renewals may succeed while changes, cancellations among
+// them, don't come.
 double Membership::covered_until() const {
-  // What our own earlier incarnations told is durable, and so in every state cache that was read since.
+  // What our own earlier incarnations told is durable, and so in every state cache that was read
+  // since.
   double until = state_store_.ever_synced() ? context_.now : previous_incarnation_covered_until_;
-  for (const auto& p : peers_) until = std::min(until, std::max(p.covered_until, state_store_.current_at()));
+  for (const auto& p : peers_)
+    until = std::min(until, std::max(p.covered_until, state_store_.current_at()));
   return until;
 }
 
@@ -138,10 +146,13 @@
   return h;
 }
 
-// The state service refuses us alone, others confirm cancellations, and then it is away for all: that all lack
-// it says nothing of what they told before. What they hold is asked of them; the times are ours, of asking.
+// The state service refuses us alone, others confirm cancellations, and then it is away for all:
+// that all lack it says nothing of what they told before. What they hold is asked of them; the
+// times are ours, of asking.
 void Membership::accept_cancellations(Peer& p, const PeerState& said, double asked_at) {
-  if (!said.offered_cancellations || said.offered_cancellations->mark.incarnation != said.incarnation) return;
+  if (!said.offered_cancellations ||
+      said.offered_cancellations->mark.incarnation != said.incarnation)
+    return;
   const CancellationOffer& h = *said.offered_cancellations;
   const bool goes_on = p.known.incarnation == said.incarnation && h.from <= p.known.count;
   if (!goes_on && h.from != 0) return;  // a gap: the next one begins anew
@@ -151,7 +162,8 @@
     p.next_send = context_.now;
     return;
   }
-  // One that never read the keys may have told something in an earlier incarnation that it does not know now.
+  // One that never read the keys may have told something in an earlier incarnation that it does not
+  // know now.
   if (!said.current_age_s) return;
   constexpr double kDrift = 1.001;
   const double current_at = asked_at - std::max(0.0, *said.current_age_s) * kDrift;
@@ -161,13 +173,16 @@
 }
 
 void Membership::on_peer_state(const PeerState& state) {
-  // Held up by a cut or by our own standstill, what a peer said minutes ago would count as said now: that it
-  // lacks the state service, say, or that an earlier incarnation is alive.
-  if (state.at < context_.wall - context_.tunables.peer_fresh_s - 2 * context_.settings.clock_error_s) return;
+  // Held up by a cut or by our own standstill, what a peer said minutes ago would count as said
+  // now: that it lacks the state service, say, or that an earlier incarnation is alive.
+  if (state.at <
+      context_.wall - context_.tunables.peer_fresh_s - 2 * context_.settings.clock_error_s)
+    return;
   for (auto& p : peers_) {
     if (p.settings.node != state.node) continue;
-    const bool steady = fresh(p) && p.state.incarnation == state.incarnation && p.state.has_state_store && p.state.synced &&
-                        state.has_state_store && state.synced;
+    const bool steady = fresh(p) && p.state.incarnation == state.incarnation &&
+                        p.state.has_state_store && p.state.synced && state.has_state_store &&
+                        state.synced;
     if (!steady) p.steady_since = context_.now;
     p.state = state;
     p.hears.clear();
@@ -179,15 +194,16 @@
   }
 }
 
-// Both sides of the exchange know of each other now, so ours can wait: with each asking the other in every period, a fifth
-// of all messages of a busy controller were these. Not where cancellations have to be handed over, which only the answer
-// to our own question brings.
+// Both sides of the exchange know of each other now, so ours can wait: with each asking the other
+// in every period, a fifth of all messages of a busy controller were these. Not where cancellations
+// have to be handed over, which only the answer to our own question brings.
 void Membership::on_peer_query(const PeerState& state) {
   on_peer_state(state);
   if (state_store_.disconnected() || !state.has_state_store) return;
   for (auto& p : peers_)
     if (p.settings.node == state.node)
-      p.next_send = std::max(p.next_send, context_.now + context_.jitter(context_.tunables.peer_every_s));
+      p.next_send =
+          std::max(p.next_send, context_.now + context_.jitter(context_.tunables.peer_every_s));
 }
 
 void Membership::send_state(Peer& p) {
@@ -215,17 +231,21 @@
   for (const int shard : std::set<int>(acquiring_)) {
     if (shard_token(shard) == 0) continue;
     acquiring_.erase(shard);
-    context_.info("holding part " + std::to_string(shard) + " at " + std::to_string(shard_token(shard)));
+    context_.info("holding part " + std::to_string(shard) + " at " +
+                  std::to_string(shard_token(shard)));
     on_shard_acquired(shard);
   }
   if (!state_store_.synced() || !state_store_.lease_valid()) return;
-  // Teams are dealt from the first shard on: the cluster leader stands where the fewest are, and those next to it
-  // step in for it before the leaders of the busiest shards.
+  // Teams are dealt from the first shard on: the cluster leader stands where the fewest are, and
+  // those next to it step in for it before the leaders of the busiest shards.
   const int n = shards();
-  const auto me = static_cast<int>(std::find(nodes_.begin(), nodes_.end(), context_.settings.node) - nodes_.begin());
-  for (int shard = 0; shard < n; ++shard) consider_claim(shard_key(shard), shard, (me - shard + n) % n);
+  const auto me = static_cast<int>(std::find(nodes_.begin(), nodes_.end(), context_.settings.node) -
+                                   nodes_.begin());
+  for (int shard = 0; shard < n; ++shard)
+    consider_claim(shard_key(shard), shard, (me - shard + n) % n);
   consider_claim(leader_key, n - 1, (n - 1 - me + n) % n);
-  for (const auto& [shard, mod_revision] : std::map<int, uint64_t>(shard_tokens_)) release_shard(shard);
+  for (const auto& [shard, mod_revision] : std::map<int, uint64_t>(shard_tokens_))
+    release_shard(shard);
 }
 
 // The budget follows the work: who needs more takes what others leave.
@@ -235,12 +255,14 @@
   std::vector<double> others;
   for (const auto& p : peers_) {
     if (fresh(p)) {
-      // A version that does not tell its need takes by its backlog, and reckons with others that do the same.
-      const double told = p.state.budget_need.value_or(even * (1 + std::min(p.state.backlog, 20.0)) / 2);
+      // A version that does not tell its need takes by its backlog, and reckons with others that do
+      // the same.
+      const double told =
+          p.state.budget_need.value_or(even * (1 + std::min(p.state.backlog, 20.0)) / 2);
       others.push_back(std::max(least, told));
     } else if (leads_a_shard(p.settings.node)) {
-      // We don't hear it, but it is alive behind refused connections and spends, too: with each controller taking the
-      // whole budget for its own, all of them were refused for the rate.
+      // We don't hear it, but it is alive behind refused connections and spends, too: with each
+      // controller taking the whole budget for its own, all of them were refused for the rate.
       others.push_back(std::max(even, state_store_.need()));
     }
   }
@@ -269,7 +291,8 @@
   double wait = context_.tunables.renew_every_s / 2 * distance;
   if (distance > 0) {
     const Peer* home_peer = peer(nodes_[static_cast<size_t>(home)]);
-    if (home_peer && fresh(*home_peer) && home_peer->state.has_state_store) wait += context_.tunables.state_lease_s / 2;
+    if (home_peer && fresh(*home_peer) && home_peer->state.has_state_store)
+      wait += context_.tunables.state_lease_s / 2;
   }
   if (context_.now - it->second >= wait) claim(key, 0);
 }
@@ -294,10 +317,11 @@
 
 void Membership::on_lease_holder_changed(const std::string& key) {
   const auto* h = state_cache_.lease_holder(key);
-  const bool mine =
-      h && h->present && h->record.node == context_.settings.node && h->record.incarnation == context_.incarnation;
+  const bool mine = h && h->present && h->record.node == context_.settings.node &&
+                    h->record.incarnation == context_.incarnation;
   if (key == leader_key) {
-    if (mine != (leader_revision_ != 0)) context_.info(mine ? "leading from now on" : "leading no more");
+    if (mine != (leader_revision_ != 0))
+      context_.info(mine ? "leading from now on" : "leading no more");
     leader_revision_ = mine ? h->mod_revision : 0;
     return;
   }
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -26,10 +26,12 @@
 
   int shards() const { return context_.settings.nodes; }
   int shard_of_team(const std::string& team) const;  // -1: unknown team
-  /// Mod revision of the shard's key if this node holds it and its state cache covers that; 0 otherwise.
+  /// Mod revision of the shard's key if this node holds it and its state cache covers that; 0
+  /// otherwise.
   uint64_t shard_token(int shard) const;
   bool leading() const {
-    return leader_revision_ != 0 && state_store_.lease_valid() && state_cache_.revision() >= leader_revision_;
+    return leader_revision_ != 0 && state_store_.lease_valid() &&
+           state_cache_.revision() >= leader_revision_;
   }
   uint64_t leader_revision() const { return leader_revision_; }
   /// May this node still answer workers of the shards it holds?
@@ -64,10 +66,13 @@
     double heard_at = kLongAgo, steady_since = 0;
     double next_send = 0;
     bool sending_state = false;
-    CancellationPosition known;       // of its cancellations, here
-    double covered_until = kLongAgo;  // every cancellation that it told before this time is known here
+    CancellationPosition known;  // of its cancellations, here
+    double covered_until =
+        kLongAgo;  // every cancellation that it told before this time is known here
   };
-  bool fresh(const Peer& p) const { return context_.now - p.heard_at < context_.tunables.peer_fresh_s; }
+  bool fresh(const Peer& p) const {
+    return context_.now - p.heard_at < context_.tunables.peer_fresh_s;
+  }
   const Peer* peer(const std::string& node) const;
   void send_state(Peer& p);
   void divide_budget();
@@ -87,9 +92,10 @@
   std::map<std::string, double> absent_since_;
   std::map<std::string, bool> claiming_;
   std::map<int, uint64_t> shard_tokens_;  // shard -> mod revision of its key
-  std::set<int> acquiring_;               // held, but the state cache does not cover the key's mod revision yet
+  std::set<int> acquiring_;  // held, but the state cache does not cover the key's mod revision yet
   uint64_t leader_revision_ = 0;
-  double previous_incarnation_covered_until_ = kLongAgo;  // what earlier incarnations of this node told
+  double previous_incarnation_covered_until_ =
+      kLongAgo;  // what earlier incarnations of this node told
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/preemption/nomination.cpp
+++ b/src/coordination/preemption/nomination.cpp
@@ -5,8 +5,8 @@
 
 namespace rushtrestle::coordination {
 
-std::string nomination_skip_reason(const store::JobRecord& r, double wall, const store::OperatorSettings& operators,
-                                   double clock_error_s) {
+std::string nomination_skip_reason(const store::JobRecord& r, double wall,
+                                   const store::OperatorSettings& operators, double clock_error_s) {
   const auto& ranks = operators.preemptible;
   if (r.running() == 0) return "not_running";
   if (std::find(ranks.begin(), ranks.end(), r.spec.rank) == ranks.end()) return "not_preemptible";
--- a/src/coordination/preemption/requeue_action.cpp
+++ b/src/coordination/preemption/requeue_action.cpp
@@ -17,17 +17,20 @@
 namespace {
 // The picture lists machines by id.
 Slot* find_slot(std::vector<Slot>& picture, const std::string& machine) {
-  const auto it = std::lower_bound(picture.begin(), picture.end(), machine,
-                                   [](const Slot& slot, const std::string& id) { return slot.machine < id; });
+  const auto it =
+      std::lower_bound(picture.begin(), picture.end(), machine,
+                       [](const Slot& slot, const std::string& id) { return slot.machine < id; });
   return it != picture.end() && it->machine == machine ? &*it : nullptr;
 }
 }  // namespace
 
-bool ShardController::fits_whole(const ShardJob& preemptor, std::vector<Slot>& picture, PlannedRoom* used) const {
+bool ShardController::fits_whole(const ShardJob& preemptor, std::vector<Slot>& picture,
+                                 PlannedRoom* used) const {
   const ZoneCounts zones = zones_of(preemptor.desired);
   if (!preemptor.desired.spec.one_zone || preemptor.desired.spec.zone || !zones.empty())
     return fits_whole_beside(preemptor, zones, picture, used);
-  // The first task's place decides the zone; what is best for it alone may have no room for the rest.
+  // The first task's place decides the zone; what is best for it alone may have no room for the
+  // rest.
   ShardJob bound = preemptor;
   for (const auto& zone : context_.settings.zones) {
     bound.desired.spec.zone = zone;
@@ -37,16 +40,18 @@
   return false;
 }
 
-bool ShardController::fits_whole_beside(const ShardJob& preemptor, ZoneCounts zones, std::vector<Slot>& picture,
-                                        PlannedRoom* used) const {
-  const uint32_t need =
-      preemptor.desired.spec.tasks - preemptor.desired.done.size() - static_cast<uint32_t>(preemptor.desired.placed.size());
+bool ShardController::fits_whole_beside(const ShardJob& preemptor, ZoneCounts zones,
+                                        std::vector<Slot>& picture, PlannedRoom* used) const {
+  const uint32_t need = preemptor.desired.spec.tasks - preemptor.desired.done.size() -
+                        static_cast<uint32_t>(preemptor.desired.placed.size());
   store::Resources more;
   std::vector<std::pair<Slot*, store::Resources>> before;
   bool fits = true;
   for (uint32_t i = 0; i < need && fits; ++i) {
     more.add(preemptor.desired.spec.per_task);
-    Slot* slot = within_quota(preemptor.desired.spec.team, more) ? select_slot_for(preemptor, zones, picture) : nullptr;
+    Slot* slot = within_quota(preemptor.desired.spec.team, more)
+                     ? select_slot_for(preemptor, zones, picture)
+                     : nullptr;
     fits = slot != nullptr;
     if (!fits) break;
     before.emplace_back(slot, slot->free);
@@ -63,8 +68,8 @@
   std::vector<ShardJob*> candidates;
   for (auto& [id, j] : jobs_) {
     if (j.shard != shard || j.desired.status != JobStatus::open) continue;
-    const std::string reason =
-        nomination_skip_reason(j.desired, context_.wall, context_.operators, context_.settings.clock_error_s);
+    const std::string reason = nomination_skip_reason(j.desired, context_.wall, context_.operators,
+                                                      context_.settings.clock_error_s);
     if (reason.empty()) {
       context_.counters["requeue_nominations_total"]++;
       candidates.push_back(&j);
@@ -89,8 +94,10 @@
   std::vector<Preemptor> out;
   for (ShardJob* c : scheduling_queue(shard)) {
     const std::string placement_class = placement_class_of(*c);
-    const size_t missing = c->desired.spec.tasks - c->desired.done.size() - c->desired.placed.size();
-    out.push_back({c, placement_class.empty() ? c->desired.spec.id : placement_class + "#" + std::to_string(missing)});
+    const size_t missing =
+        c->desired.spec.tasks - c->desired.done.size() - c->desired.placed.size();
+    out.push_back({c, placement_class.empty() ? c->desired.spec.id
+                                              : placement_class + "#" + std::to_string(missing)});
   }
   return out;
 }
@@ -101,15 +108,19 @@
 }
 
 // The first preemptor of a higher rank, in waiting order, that fits whole into the picture.
-std::optional<size_t> ShardController::try_preemptors(const ShardJob& victim, const std::vector<Preemptor>& preemptors,
-                                                      std::vector<Slot>& picture, PlannedRoom& used) {
-  // With hundreds of both, a trial for each pair kept heartbeats and renewals waiting for seconds: jobs of one
-  // placement class and number of tasks are tried once.
+std::optional<size_t> ShardController::try_preemptors(const ShardJob& victim,
+                                                      const std::vector<Preemptor>& preemptors,
+                                                      std::vector<Slot>& picture,
+                                                      PlannedRoom& used) {
+  // With hundreds of both, a trial for each pair kept heartbeats and renewals waiting for seconds:
+  // jobs of one placement class and number of tasks are tried once.
   std::unordered_set<std::string> tried;
   for (size_t i = 0; i < preemptors.size(); ++i) {
     const auto& preemptor = preemptors[i];
     if (preemptor.job->desired.spec.rank <= victim.desired.spec.rank) break;  // sorted by rank
-    if (tried.count(preemptor.placement_class) || has_preemptor_reservation(preemptor.job->desired.spec.id)) continue;
+    if (tried.count(preemptor.placement_class) ||
+        has_preemptor_reservation(preemptor.job->desired.spec.id))
+      continue;
     used.clear();
     if (fits_whole(*preemptor.job, picture, &used)) return i;
     context_.counters["requeue_rollbacks_total"]++;
@@ -118,9 +129,11 @@
   return std::nullopt;
 }
 
-void ShardController::commit_requeue(ShardJob& victim, const ShardJob& preemptor, const PlannedRoom& used) {
+void ShardController::commit_requeue(ShardJob& victim, const ShardJob& preemptor,
+                                     const PlannedRoom& used) {
   context_.counters["requeue_commits_total"]++;
-  context_.info("requeue committed: " + victim.desired.spec.id + " makes room for " + preemptor.desired.spec.id);
+  context_.info("requeue committed: " + victim.desired.spec.id + " makes room for " +
+                preemptor.desired.spec.id);
   victim.desired.not_before = context_.wall + context_.operators.requeue_delay_s;
   for (auto& p : victim.desired.placed) p.stopping = true;
   enqueue_job_write(victim.desired.spec.id, WriteCause::stop);
--- a/src/coordination/runtime/context.h
+++ b/src/coordination/runtime/context.h
@@ -43,7 +43,8 @@
   }
 
  private:
-  static constexpr double kSlowest = 1e-3;  // a rate of nothing gives a late time, not a division by zero
+  static constexpr double kSlowest =
+      1e-3;  // a rate of nothing gives a late time, not a division by zero
   double rate_ = 1, tokens_ = 1, last_ = 0;
 };
 
@@ -56,8 +57,13 @@
 class Context {
  public:
   using Handler = std::function<void(CallDone&&)>;
-  Context(const store::Settings& s, const store::OperatorSettings& o, std::string incarnation_name, uint64_t seed)
-      : settings(s), operators(o), tunables(s), incarnation(std::move(incarnation_name)), rng(seed) {
+  Context(const store::Settings& s, const store::OperatorSettings& o, std::string incarnation_name,
+          uint64_t seed)
+      : settings(s),
+        operators(o),
+        tunables(s),
+        incarnation(std::move(incarnation_name)),
+        rng(seed) {
     for (size_t i = 0; i < settings.teams.size(); ++i) teams_.emplace(settings.teams[i].name, i);
   }
 
@@ -68,7 +74,8 @@
     const auto it = teams_.find(name);
     return it == teams_.end() ? nullptr : &settings.teams[it->second];
   }
-  /// Best-effort teams have no guarantee: what they run is borrowed, and the others' expected work goes before it.
+  /// Best-effort teams have no guarantee: what they run is borrowed, and the others' expected work
+  /// goes before it.
   bool is_best_effort(const std::string& team_name) const {
     const auto* known = team(team_name);
     return known && !known->has_guarantee();
@@ -78,7 +85,8 @@
   std::mt19937_64 rng;
   double now = 0, wall = 0;
   ProcessLoad load;
-  double lag = 0;  // seconds by which batches are late; what it was falls to half in each report interval
+  double lag =
+      0;  // seconds by which batches are late; what it was falls to half in each report interval
   std::vector<Effect> out;
   std::map<std::string, uint64_t> counters;
   LogLine::Level log_level = LogLine::Level::info;
@@ -98,7 +106,9 @@
     constexpr double kLongestTimes = 10;
     return std::min(period_s + kLongerByLag * lag, period_s * kLongestTimes);
   }
-  double jitter(double seconds) { return seconds * std::uniform_real_distribution<>(0.75, 1.25)(rng); }
+  double jitter(double seconds) {
+    return seconds * std::uniform_real_distribution<>(0.75, 1.25)(rng);
+  }
   bool logs(LogLine::Level level) const { return level <= log_level; }
   void log(LogLine::Level level, std::string text) {
     if (logs(level)) out.push_back(LogLine{level, std::move(text)});
--- a/src/coordination/runtime/messages.h
+++ b/src/coordination/runtime/messages.h
@@ -23,7 +23,8 @@
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
   bool saved = false;
-  bool gathering = false;  // fetched, and waits for the others of its gang; not told between controllers
+  bool gathering =
+      false;  // fetched, and waits for the others of its gang; not told between controllers
 };
 
 struct Heartbeat {
@@ -55,7 +56,8 @@
   std::string incarnation;  // whose cancellations
   uint64_t count = 0;       // so many of them, in its order
 };
-/// Cancellations that a controller's state cache holds, from `from` on, but for those that the asker's state cache covers.
+/// Cancellations that a controller's state cache holds, from `from` on, but for those that the
+/// asker's state cache covers.
 struct CancellationOffer {
   CancellationPosition mark;
   uint64_t from = 0;
@@ -70,17 +72,21 @@
   bool synced = false;
   double backlog = 0;  // records waiting to be written
   std::vector<int> shards;
-  std::vector<std::string> machines_heard;  // machines heard from lately; the sender's own may be left out
-  std::vector<std::string> nodes;           // controllers heard from lately
-  double at = 0;                            // time of day when it was said
+  std::vector<std::string>
+      machines_heard;              // machines heard from lately; the sender's own may be left out
+  std::vector<std::string> nodes;  // controllers heard from lately
+  double at = 0;                   // time of day when it was said
   // Absent from controllers of the version before: the cautious answer follows.
-  uint64_t revision = 0;                                   // that its state cache has reached
-  std::optional<double> current_age_s;                     // since its state cache was last proven current; none: never
-  std::optional<CancellationPosition> acknowledged;        // asking: what is known here of the asked one's cancellations
+  uint64_t revision = 0;  // that its state cache has reached
+  std::optional<double>
+      current_age_s;  // since its state cache was last proven current; none: never
+  std::optional<CancellationPosition>
+      acknowledged;  // asking: what is known here of the asked one's cancellations
   std::optional<CancellationOffer> offered_cancellations;  // answering
   std::string version;                                     // of its program, for operators
   uint64_t record_format = 0;                              // the newest that it reads
-  std::optional<double> budget_need;  // of the budget of puts at the state service, as a part of the whole
+  std::optional<double>
+      budget_need;  // of the budget of puts at the state service, as a part of the whole
 };
 
 // ---- commands ----
@@ -153,8 +159,9 @@
   std::vector<WorkerCommand> commands;
   std::string redirect;  // with 421: node to go to, may be empty
 };
-using Reply = std::variant<std::monostate, TxnReply, KeyReply, ListKeysReply, LeaseReply, WatchReply, MachineTypesReply,
-                           ProvisionReply, ListMachinesReply, Heartbeat, PeerState, HeartbeatResponse>;
+using Reply = std::variant<std::monostate, TxnReply, KeyReply, ListKeysReply, LeaseReply,
+                           WatchReply, MachineTypesReply, ProvisionReply, ListMachinesReply,
+                           Heartbeat, PeerState, HeartbeatResponse>;
 
 /// status 0: no answer, outcome unknown. A 2xx whose body can't be read counts as 0 too.
 struct CallDone {
@@ -163,8 +170,9 @@
   Reply reply;
 };
 
-using Command = std::variant<SubmitJob, QueryJob, CancelJob, CheckHealth, ShowStats, HandleHeartbeat,
-                             HandleForwardedHeartbeat, HandlePeerState, CallDone, Tick>;
+using Command =
+    std::variant<SubmitJob, QueryJob, CancelJob, CheckHealth, ShowStats, HandleHeartbeat,
+                 HandleForwardedHeartbeat, HandlePeerState, CallDone, Tick>;
 
 // ---- effects ----
 struct JobView {
@@ -249,8 +257,9 @@
   std::string address;
   Heartbeat heartbeat;
 };
-using CallBody = std::variant<Txn, ReadKey, ListKeys, GrantLease, RenewLease, Watch, ListMachineTypes, ProvisionMachines,
-                              DeleteMachines, ListMachines, PushCommands, SendPeerState, ForwardHeartbeat>;
+using CallBody = std::variant<Txn, ReadKey, ListKeys, GrantLease, RenewLease, Watch,
+                              ListMachineTypes, ProvisionMachines, DeleteMachines, ListMachines,
+                              PushCommands, SendPeerState, ForwardHeartbeat>;
 struct Call {
   CallId id = 0;
   double timeout_s = 0;
@@ -261,6 +270,7 @@
   std::string text;
 };
 
-using Effect = std::variant<AnswerUser, AnswerHeartbeat, AnswerForwardedHeartbeat, AnswerPeer, AnswerStats, Call, LogLine>;
+using Effect = std::variant<AnswerUser, AnswerHeartbeat, AnswerForwardedHeartbeat, AnswerPeer,
+                            AnswerStats, Call, LogLine>;
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/arrival_forecast.cpp
+++ b/src/coordination/scheduling/arrival_forecast.cpp
@@ -8,8 +8,9 @@
 namespace {
 // The window in which arrivals are counted, in boot times of the slowest machine type.
 constexpr double kWindow = 3;
-// What comes at one stroke (all that stood in line when the service began, say) tells nothing of what will
-// come: where half a boot time brought more than half of all, and not just a few, it is left out.
+// What comes at one stroke (all that stood in line when the service began, say) tells nothing of
+// what will come: where half a boot time brought more than half of all, and not just a few, it is
+// left out.
 constexpr double kStroke = 0.5;
 constexpr size_t kFew = 8;
 }  // namespace
@@ -17,8 +18,11 @@
 void ArrivalForecast::on_job_changed(const std::string& id) {
   const auto& rec = state_cache_.job(id)->record;
   // Each job once: its first record has no attempts yet.
-  if (rec.attempts > 0 || rec.final_state() || rec.submitted < context_.wall - context_.settings.lease_s) return;
-  // Spare room for a swarm of best-effort teams' jobs would be rented, and kept from those who have a guarantee.
+  if (rec.attempts > 0 || rec.final_state() ||
+      rec.submitted < context_.wall - context_.settings.lease_s)
+    return;
+  // Spare room for a swarm of best-effort teams' jobs would be rented, and kept from those who have
+  // a guarantee.
   if (context_.is_best_effort(rec.spec.team)) return;
   if (since_ == 0) since_ = context_.wall;
   auto& a = arrivals_[{membership_.shard_of_team(rec.spec.team), rec.spec.job_class}];
--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -15,7 +15,8 @@
     store::JobSpec shape;  // the last job of the class, with the mean number of tasks
     int jobs = 0;
   };
-  ArrivalForecast(Context& context, const store::StateCache& state_cache, const Membership& membership)
+  ArrivalForecast(Context& context, const store::StateCache& state_cache,
+                  const Membership& membership)
       : context_(context), state_cache_(state_cache), membership_(membership) {}
 
   void on_job_changed(const std::string& id);
--- a/src/coordination/scheduling/best_effort.cpp
+++ b/src/coordination/scheduling/best_effort.cpp
@@ -14,7 +14,8 @@
   const bool may_wait = spec.rank == store::Rank::low && spec.spot && !spec.deadline_s;
   if (!may_wait || !context.is_best_effort(spec.team) || starves(job, context.wall)) return false;
   const auto& objectives = context.settings.objectives;
-  return std::none_of(objectives.begin(), objectives.end(), [&](const auto& o) { return o.job_class == spec.job_class; });
+  return std::none_of(objectives.begin(), objectives.end(),
+                      [&](const auto& o) { return o.job_class == spec.job_class; });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/best_effort.h
+++ b/src/coordination/scheduling/best_effort.h
@@ -1,16 +1,18 @@
-// Teams without a guarantee: what they run is borrowed, so it must not cost the others room, machines or time.
+// Teams without a guarantee: what they run is borrowed, so it must not cost the others room,
+// machines or time.
 #pragma once
 #include "coordination/runtime/context.h"
 #include "store/records.h"
 
 namespace rushtrestle::coordination {
 
-/// Has the job waited so long (seconds of the time of day `wall`) without a first start that it should begin wherever it
-/// can? The users look after four minutes; this is half of that.
+/// Has the job waited so long (seconds of the time of day `wall`) without a first start that it
+/// should begin wherever it can? The users look after four minutes; this is half of that.
 bool starves(const store::JobRecord& job, double wall);
 
-/// Work of a guest that nobody has set a time for: the lowest rank, no deadline and no objective of its class. It uses
-/// spot machines and what is idle beside services; no ordinary machine is rented or kept for it. Not so once it starves.
+/// Work of a guest that nobody has set a time for: the lowest rank, no deadline and no objective of
+/// its class. It uses spot machines and what is idle beside services; no ordinary machine is rented
+/// or kept for it. Not so once it starves.
 bool takes_idle_room_only(const store::JobRecord& job, const Context& context);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_lifecycle.cpp
+++ b/src/coordination/scheduling/gang_lifecycle.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 bool any_stopping(const JobRecord& job) {
-  return std::any_of(job.placed.begin(), job.placed.end(), [](const Placement& p) { return p.stopping; });
+  return std::any_of(job.placed.begin(), job.placed.end(),
+                     [](const Placement& p) { return p.stopping; });
 }
 
 }  // namespace
@@ -19,7 +20,8 @@
 GangPhase gang_phase(const JobRecord& gang) {
   if (gang.placed.empty()) return GangPhase::idle;
   if (any_stopping(gang)) return GangPhase::ending;
-  const bool runs = std::any_of(gang.placed.begin(), gang.placed.end(), [](const Placement& p) { return p.running; });
+  const bool runs = std::any_of(gang.placed.begin(), gang.placed.end(),
+                                [](const Placement& p) { return p.running; });
   return runs ? GangPhase::running : GangPhase::gathering;
 }
 
--- a/src/coordination/scheduling/gang_lifecycle.h
+++ b/src/coordination/scheduling/gang_lifecycle.h
@@ -4,10 +4,11 @@
 
 namespace rushtrestle::coordination {
 
-// All members of a gang run under one attempt number, or none does. The phase follows from the placements and
-// their flags, which every version of the service reads and writes, so that a new shard leader and the one before see
-// the same. Invariant: nobody joins an attempt that is running or ending, and the next attempt begins only when
-// no member of the old one is placed, that is, when all are known to be gone.
+// All members of a gang run under one attempt number, or none does. The phase follows from the
+// placements and their flags, which every version of the service reads and writes, so that a new
+// shard leader and the one before see the same. Invariant: nobody joins an attempt that is running
+// or ending, and the next attempt begins only when no member of the old one is placed, that is,
+// when all are known to be gone.
 //
 //   idle --place whole--> gathering --a member is seen running--> running
 //   gathering --a member is lost--> gathering (it is replaced under the same attempt)
@@ -23,15 +24,16 @@
 
 GangPhase gang_phase(const store::JobRecord& gang);
 
-/// What is left of the attempt is to stop: a member has ended by itself, was lost while the gang ran, or has to make
-/// room. Does nothing for jobs that are no gangs, and where nothing is left.
+/// What is left of the attempt is to stop: a member has ended by itself, was lost while the gang
+/// ran, or has to make room. Does nothing for jobs that are no gangs, and where nothing is left.
 void end_attempt(store::JobRecord& job);
 
-/// Stops all members if one is to stop: the progress of a gang is saved only when all are told in time.
+/// Stops all members if one is to stop: the progress of a gang is saved only when all are told in
+/// time.
 void spread_stop(store::JobRecord& job);
 
-/// The grace that a member is given with its stop. Once a member is missing there is nothing to save any more, and
-/// the others would only wait for it.
+/// The grace that a member is given with its stop. Once a member is missing there is nothing to
+/// save any more, and the others would only wait for it.
 double stop_grace_s(const store::JobRecord& job);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_reservation.h
+++ b/src/coordination/scheduling/gang_reservation.h
@@ -17,9 +17,10 @@
   store::Resources room;
 };
 
-/// A gang takes room only when all of it fits, so a stream of small jobs that takes each piece as it comes free would
-/// keep it waiting for ever. Nothing of the same or a lower rank is placed on the machines of a hold but its gang.
-/// One hold a shard, and not for ever: the rest of the shard goes on beside it.
+/// A gang takes room only when all of it fits, so a stream of small jobs that takes each piece as
+/// it comes free would keep it waiting for ever. Nothing of the same or a lower rank is placed on
+/// the machines of a hold but its gang. One hold a shard, and not for ever: the rest of the shard
+/// goes on beside it.
 struct GangReservation {
   std::string job;
   store::Rank rank = store::Rank::low;
@@ -29,9 +30,10 @@
   bool keeps_out(const store::JobSpec& spec) const { return spec.id != job && spec.rank <= rank; }
 };
 
-/// The fewest machines, in one zone if the gang needs that, on which all of it will fit; empty if there are none, or
-/// more than `most`.
-std::set<std::string> machines_to_reserve(const store::JobSpec& gang, const std::vector<RoomToCome>& room,
+/// The fewest machines, in one zone if the gang needs that, on which all of it will fit; empty if
+/// there are none, or more than `most`.
+std::set<std::string> machines_to_reserve(const store::JobSpec& gang,
+                                          const std::vector<RoomToCome>& room,
                                           const std::vector<std::string>& zones, size_t most);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -8,10 +8,12 @@
 using store::JobKind;
 using store::JobSpec;
 
-void ImageCaches::used(const std::string& machine, const std::string& image, double gb, double cache_gb) {
+void ImageCaches::used(const std::string& machine, const std::string& image, double gb,
+                       double cache_gb) {
   auto& cache = machines_[machine];
   const ImageId id = ids_.emplace(image, static_cast<ImageId>(ids_.size())).first->second;
-  const auto it = std::find_if(cache.begin(), cache.end(), [&](const Cached& c) { return c.image == id; });
+  const auto it =
+      std::find_if(cache.begin(), cache.end(), [&](const Cached& c) { return c.image == id; });
   if (it != cache.end()) {
     std::rotate(it, it + 1, cache.end());
     return;
@@ -37,11 +39,15 @@
 
 namespace {
 bool holds(const ImageCaches::Cache* cache, std::optional<ImageCaches::ImageId> image) {
-  return cache && image && std::any_of(cache->begin(), cache->end(), [&](const auto& c) { return c.image == *image; });
+  return cache && image && std::any_of(cache->begin(), cache->end(), [&](const auto& c) {
+           return c.image == *image;
+         });
 }
 }  // namespace
 
-bool ImageCaches::has(const std::string& machine, const std::string& image) const { return holds(of(machine), id(image)); }
+bool ImageCaches::has(const std::string& machine, const std::string& image) const {
+  return holds(of(machine), id(image));
+}
 
 void keep_headroom_for(CapacityHeadroom& reserve, const JobSpec& spec, double tasks) {
   if (spec.per_task.gpus <= 0 || spec.spot) return;
@@ -50,7 +56,8 @@
 }
 
 bool type_allowed(const JobSpec& spec, const std::string& type) {
-  return !spec.types || std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
+  return !spec.types ||
+         std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
 }
 
 bool zone_allowed(const JobSpec& spec, const std::string& zone, const ZoneCounts& placed) {
@@ -68,10 +75,11 @@
 bool kind_allowed(const JobSpec& spec, bool spot) { return !spot || spec.spot; }
 
 std::string placement_shape(const JobSpec& spec) {
-  std::string shape = std::to_string(spec.per_task.cpus) + "|" + std::to_string(spec.per_task.gpus) + "|" +
+  std::string shape = std::to_string(spec.per_task.cpus) + "|" +
+                      std::to_string(spec.per_task.gpus) + "|" +
                       std::to_string(spec.per_task.memory_gb) + "|" + (spec.spot ? "s" : "") +
-                      (spec.spread ? "h" + std::to_string((spec.tasks + 1) / 2) : "") + (spec.one_zone ? "z" : "") +
-                      spec.zone.value_or("");
+                      (spec.spread ? "h" + std::to_string((spec.tasks + 1) / 2) : "") +
+                      (spec.one_zone ? "z" : "") + spec.zone.value_or("");
   if (spec.types)
     for (const auto& type : *spec.types) shape += "|" + type;
   return shape;
@@ -106,7 +114,8 @@
 double start_within_s(const JobSpec& spec, const store::Settings& settings) {
   double within = 0;
   for (const auto& o : settings.objectives)
-    if (o.within_s > 0 && ((o.kind == "wait" && o.job_class == spec.job_class) || o.kind == "guarantee"))
+    if (o.within_s > 0 &&
+        ((o.kind == "wait" && o.job_class == spec.job_class) || o.kind == "guarantee"))
       within = within > 0 ? std::min(within, o.within_s) : o.within_s;
   return within;
 }
@@ -121,10 +130,12 @@
   return cpu_per_gpu > 0 ? std::min(free.gpus, free.cpus / cpu_per_gpu) : free.gpus;
 }
 
-std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve, double cpu_per_gpu) {
+std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve,
+                                double cpu_per_gpu) {
   const double piece = std::max(1.0, reserve.gpus_per_task);
   if (slot.spot || slot.free.gpus + store::Resources::kSlack < piece) return std::nullopt;
-  return std::max(piece, std::floor(std::min(left, usable_gpus(slot.free, cpu_per_gpu)) / piece) * piece);
+  return std::max(piece,
+                  std::floor(std::min(left, usable_gpus(slot.free, cpu_per_gpu)) / piece) * piece);
 }
 
 double placement_score(const JobSpec& spec, const Slot& slot) {
@@ -142,8 +153,8 @@
 }
 
 namespace {
-/// GPUs to be kept on each slot so that the reserve stands or, where there is too little room for it,
-/// comes to stand as work ends: on few machines, those that are nearest to it. Spread over all
+/// GPUs to be kept on each slot so that the reserve stands or, where there is too little room for
+/// it, comes to stand as work ends: on few machines, those that are nearest to it. Spread over all
 /// machines it would never be room for a large task.
 void hold_back(std::vector<Slot>& slots, const Fit& fit) {
   std::vector<std::pair<double, Slot*>> nearest;
@@ -152,7 +163,8 @@
     if (held_gpus(slot, 0, fit.reserve, fit.cpu_per_gpu))
       nearest.emplace_back(usable_gpus(slot.free, fit.cpu_per_gpu), &slot);
   }
-  // The reserve takes few of many machines: a heap, not all of them sorted. Equal ones in the picture's order.
+  // The reserve takes few of many machines: a heap, not all of them sorted. Equal ones in the
+  // picture's order.
   const auto farther = [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first < b.first : a.second > b.second;
   };
@@ -187,7 +199,8 @@
   return it == type.zones.end() ? &zone : &*it;
 }
 
-Slot* select_slot(const JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots, const Fit& fit) {
+Slot* select_slot(const JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots,
+                  const Fit& fit) {
   const bool bound = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
   if (bound) hold_back(slots, fit);
   Memo types, zones;
@@ -195,8 +208,8 @@
   Slot* best = nullptr;
   double best_score = 0;
   for (auto& slot : slots) {
-    if (!spec.per_task.fits(slot.free) || !kind_allowed(spec, slot.spot) || (fit.spot_only && !slot.spot) ||
-        (fit.idle_room_only && !slot.spot && !slot.pinned) ||
+    if (!spec.per_task.fits(slot.free) || !kind_allowed(spec, slot.spot) ||
+        (fit.spot_only && !slot.spot) || (fit.idle_room_only && !slot.spot && !slot.pinned) ||
         !types(slot.type, [&] { return type_allowed(spec, slot.type->name); }) ||
         !zones(slot.zone, [&] { return zone_allowed(spec, *slot.zone, placed); }))
       continue;
@@ -205,7 +218,8 @@
     const auto& size = slot.type->size;
     // CPUs beside free GPUs are theirs: a task without GPUs must not strand them.
     if (!fit.strand_gpus && spec.per_task.gpus == 0 && size.gpus > 0 &&
-        slot.free.cpus - spec.per_task.cpus + store::Resources::kSlack < slot.free.gpus * fit.cpu_per_gpu)
+        slot.free.cpus - spec.per_task.cpus + store::Resources::kSlack <
+            slot.free.gpus * fit.cpu_per_gpu)
       continue;
     if (bound && slot.held_gpus > 0) {
       store::Resources after = slot.free;
@@ -217,8 +231,8 @@
     if (fit.images && !holds(slot.images, image)) {
       const double fetch_s = spec.image_gb / std::max(0.01, slot.type->fetch_gb_per_s);
       score += fetch_s;
-      // The rest of the time goes into accepting and writing: a fetch of half of it makes the start late,
-      // which no better packing is worth.
+      // The rest of the time goes into accepting and writing: a fetch of half of it makes the start
+      // late, which no better packing is worth.
       if (fit.start_within_s > 0 && fetch_s > fit.start_within_s / 2) score += 20;
     }
     if (!best || score < best_score) {
@@ -238,13 +252,16 @@
                          (!spec.zone || *spec.zone == *slot.zone) && !avoid.count(slot.machine);
     if (!allowed) continue;
     uint32_t n = 0;
-    for (auto free = slot.free; n < tasks && spec.per_task.fits(free); free.add(spec.per_task, -1)) ++n;
+    for (auto free = slot.free; n < tasks && spec.per_task.fits(free); free.add(spec.per_task, -1))
+      ++n;
     if (n > 0) takes.emplace_back(n, &slot);
   }
-  std::stable_sort(takes.begin(), takes.end(), [](const auto& a, const auto& b) { return a.first > b.first; });
+  std::stable_sort(takes.begin(), takes.end(),
+                   [](const auto& a, const auto& b) { return a.first > b.first; });
   std::vector<std::pair<std::string, store::Resources>> room;
   for (const auto& [n, slot] : takes)
-    for (uint32_t i = 0; i < n && room.size() < tasks; ++i) room.emplace_back(slot->machine, spec.per_task);
+    for (uint32_t i = 0; i < n && room.size() < tasks; ++i)
+      room.emplace_back(slot->machine, spec.per_task);
   if (room.size() < tasks) room.clear();
   return room;
 }
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -46,7 +46,8 @@
   double held_gpus = 0;  // kept back for the reserve; worked out by `pick`
 };
 
-/// The type's own copy of the zone's name, so that slots of one zone share a pointer and `pick` compares few.
+/// The type's own copy of the zone's name, so that slots of one zone share a pointer and `pick`
+/// compares few.
 const std::string* shared_zone(const store::MachineType& type, const std::string& zone);
 
 /// Tasks of one job by zone, those on machines included.
@@ -67,10 +68,10 @@
   const std::set<std::string>* avoid = nullptr;  // machines that failed this job
   const std::set<std::string>* held = nullptr;   // machines kept for another job
   bool strand_gpus = false;                      // may CPU work take what free GPUs need?
-  CapacityHeadroom reserve = {};                 // binds work without GPUs and work that may use spot machines
-  bool spot_only = false;                        // work that can wait leaves ordinary machines to work that needs them
-  bool idle_room_only = false;                   // on spot machines and beside work that lasts
-  double start_within_s = 0;                     // when it should run by its objective; 0: no matter, or too late
+  CapacityHeadroom reserve = {};  // binds work without GPUs and work that may use spot machines
+  bool spot_only = false;  // work that can wait leaves ordinary machines to work that needs them
+  bool idle_room_only = false;  // on spot machines and beside work that lasts
+  double start_within_s = 0;    // when it should run by its objective; 0: no matter, or too late
 };
 
 bool type_allowed(const store::JobSpec& spec, const std::string& type);
@@ -83,11 +84,12 @@
 /// What placed tasks add to that, for jobs that are bound to one zone or spread over zones.
 std::string zones_shape(const ZoneCounts& placed);
 
-/// Seconds after its submission by which a job should be over: its deadline, its class's objective, or,
-/// with neither, three times its run.
+/// Seconds after its submission by which a job should be over: its deadline, its class's objective,
+/// or, with neither, three times its run.
 double due_after_s(const store::JobSpec& spec, const store::Settings& settings);
 
-/// Seconds after its submission by which a job's tasks should run, by the objectives; 0: none says so.
+/// Seconds after its submission by which a job's tasks should run, by the objectives; 0: none says
+/// so.
 double start_within_s(const store::JobSpec& spec, const store::Settings& settings);
 
 /// May work that can run on spot machines still wait for one? It may, while half of the time
@@ -97,19 +99,24 @@
 /// GPUs of a slot that tasks with the usual CPUs beside them can take.
 double usable_gpus(const store::Resources& free, double cpu_per_gpu);
 
-/// Of a reserve of which `left` GPUs are not held yet, how many this slot holds; none: it is no place for one piece.
-std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve, double cpu_per_gpu);
+/// Of a reserve of which `left` GPUs are not held yet, how many this slot holds; none: it is no
+/// place for one piece.
+std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve,
+                                double cpu_per_gpu);
 
-/// How badly a slot suits a task that fits there, images apart: work that may use spot machines leaves the others free;
-/// after that the fullest machine, so that the emptiest can be given back. The lowest is best.
+/// How badly a slot suits a task that fits there, images apart: work that may use spot machines
+/// leaves the others free; after that the fullest machine, so that the emptiest can be given back.
+/// The lowest is best.
 double placement_score(const store::JobSpec& spec, const Slot& slot);
 
 /// The best slot for one more task, or null.
-Slot* select_slot(const store::JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots, const Fit& fit);
+Slot* select_slot(const store::JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots,
+                  const Fit& fit);
 
-/// Room for `tasks` tasks on as few machines as can be: machine and room, an entry a task. Empty: they don't all fit.
-/// For jobs that are not bound to spread over zones.
-std::vector<std::pair<std::string, store::Resources>> bin_pack(const store::JobSpec& spec, uint32_t tasks,
+/// Room for `tasks` tasks on as few machines as can be: machine and room, an entry a task. Empty:
+/// they don't all fit. For jobs that are not bound to spread over zones.
+std::vector<std::pair<std::string, store::Resources>> bin_pack(const store::JobSpec& spec,
+                                                               uint32_t tasks,
                                                                const std::vector<Slot>& slots,
                                                                const std::set<std::string>& avoid);
 
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -22,8 +22,9 @@
   std::vector<Slot> out;
   for (const auto& [id, m] : machines_) {
     const auto* record = state_cache_.machine(id);
-    if (m.shard != shard || !record || !record->record.usable() || !m.known || m.quarantined() || m.notice_s ||
-        m.marking_for_deletion || m.writing || m.commands_failing_since > 0 || !sends_heartbeats(m))
+    if (m.shard != shard || !record || !record->record.usable() || !m.known || m.quarantined() ||
+        m.notice_s || m.marking_for_deletion || m.writing || m.commands_failing_since > 0 ||
+        !sends_heartbeats(m))
       continue;
     const auto* type = state_cache_.type(record->record.type);
     if (!type) continue;
@@ -31,8 +32,8 @@
     free.add(m.used, -1);
     for (const auto& p : preemptor_reservations_)
       if (p.machine == id) free.add(p.room, -1);
-    out.push_back({id, type, shared_zone(*type, record->record.zone), record->record.spot, free, m.placed.empty(),
-                   m.pinned > 0, images_.of(id)});
+    out.push_back({id, type, shared_zone(*type, record->record.zone), record->record.spot, free,
+                   m.placed.empty(), m.pinned > 0, images_.of(id)});
   }
   return out;
 }
@@ -51,7 +52,8 @@
   fit.avoid = &j.avoid;
   if (const GangReservation* hold = reservation_against(j)) fit.held = &hold->machines;
   fit.reserve = headroom_;
-  fit.spot_only = production_waits_ && can_wait_for_spot(j.desired, context_.settings, context_.wall);
+  fit.spot_only =
+      production_waits_ && can_wait_for_spot(j.desired, context_.settings, context_.wall);
   fit.idle_room_only = takes_idle_room_only(j.desired, context_);
   const double within = start_within_s(j.desired.spec, context_.settings);
   if (context_.wall - j.desired.submitted < within) fit.start_within_s = within;
@@ -61,7 +63,8 @@
 // CPUs beside free GPUs are kept for work with GPUs only as long as there are others, and only
 // where that does not make a start late for its image: where CPUs are what is short, an idle GPU
 // costs less than a service that is down.
-Slot* ShardController::select_slot_for(const ShardJob& j, const ZoneCounts& zones, std::vector<Slot>& slots) const {
+Slot* ShardController::select_slot_for(const ShardJob& j, const ZoneCounts& zones,
+                                       std::vector<Slot>& slots) const {
   Fit fit = placement_request_for(j);
   const auto& spec = j.desired.spec;
   const auto late = [&](const Slot& s) {
@@ -81,19 +84,24 @@
   store::Resources used = more;
   const auto it = team_used_.find(team);
   if (it != team_used_.end()) used.add(it->second);
-  return used.cpus <= t->quota.cpus + store::Resources::kSlack && used.gpus <= t->quota.gpus + store::Resources::kSlack;
+  return used.cpus <= t->quota.cpus + store::Resources::kSlack &&
+         used.gpus <= t->quota.gpus + store::Resources::kSlack;
 }
 
 namespace {
 size_t digits(uint64_t n) { return std::to_string(n).size(); }
 }  // namespace
 
-// A record must stay below value_kb: the number of tasks placed at once is bound by it, and since the lowest tasks
-// start first, so is the number of holes among the done ones. What a task's end adds is less than its placement took.
+// A record must stay below value_kb: the number of tasks placed at once is bound by it, and since
+// the lowest tasks start first, so is the number of holes among the done ones. What a task's end
+// adds is less than its placement took.
 uint32_t ShardController::placement_room(const JobRecord& r) const {
-  constexpr size_t kAddedLater = 160;  // the times of the last start and of the cooldown, and the writer's mark
-  constexpr size_t kPunctuation = 13;  // of [1, "n-000001", 1, 0] and the comma after it, beside its values
-  const size_t placement = kPunctuation + digits(r.spec.tasks) + longest_machine_id_ + digits(r.attempts + r.spec.tasks);
+  constexpr size_t kAddedLater =
+      160;  // the times of the last start and of the cooldown, and the writer's mark
+  constexpr size_t kPunctuation =
+      13;  // of [1, "n-000001", 1, 0] and the comma after it, beside its values
+  const size_t placement =
+      kPunctuation + digits(r.spec.tasks) + longest_machine_id_ + digits(r.attempts + r.spec.tasks);
   const size_t taken = store::stored_size(to_json(r)) + kAddedLater;
   const auto limit = static_cast<size_t>(context_.settings.value_kb * 1024);
   if (taken < limit) return static_cast<uint32_t>((limit - taken) / placement);
@@ -123,11 +131,14 @@
   for (const auto& id : pending_) {
     ShardJob& j = jobs_.at(id);
     const auto* durable = state_cache_.job(id);
-    if (j.shard != shard || context_.now < j.retry_at || !durable || durable->record.status != JobStatus::open) continue;
+    if (j.shard != shard || context_.now < j.retry_at || !durable ||
+        durable->record.status != JobStatus::open)
+      continue;
     if (context_.now > j.avoid_until) j.avoid.clear();
     const int group = queue_group(j.desired);
     if (!j.due_after_s) j.due_after_s = due_after_s(j.desired.spec, context_.settings);
-    entries.push_back({j.desired.spec.rank, group, j.desired.submitted + (group == 1 ? *j.due_after_s : 0), &j});
+    entries.push_back(
+        {j.desired.spec.rank, group, j.desired.submitted + (group == 1 ? *j.due_after_s : 0), &j});
   }
   // Stable: by id in the end, as the set is.
   std::stable_sort(entries.begin(), entries.end(), [](const Entry& a, const Entry& b) {
@@ -144,11 +155,13 @@
 // still be in time, last what can't be (it would only make others late, too).
 int ShardController::queue_group(const JobRecord& r) const {
   if (starves(r, context_.wall)) return 0;
-  if (r.spec.deadline_s && context_.wall + r.spec.estimate_s > r.submitted + *r.spec.deadline_s) return 2;
+  if (r.spec.deadline_s && context_.wall + r.spec.estimate_s > r.submitted + *r.spec.deadline_s)
+    return 2;
   return 1;
 }
 
-void ShardController::set_headroom_for_arrivals(int shard, const std::vector<ShardJob*>& scheduling_queue) {
+void ShardController::set_headroom_for_arrivals(int shard,
+                                                const std::vector<ShardJob*>& scheduling_queue) {
   headroom_ = {};
   production_waits_ = false;
   for (const auto& f : arrival_forecast_.expected(shard))
@@ -156,13 +169,15 @@
   for (const ShardJob* j : scheduling_queue) {
     const auto& r = j->desired;
     production_waits_ |= !preemptible(r);
-    keep_headroom_for(headroom_, r.spec, r.spec.tasks - r.done.size() - static_cast<double>(r.placed.size()));
+    keep_headroom_for(headroom_, r.spec,
+                      r.spec.tasks - r.done.size() - static_cast<double>(r.placed.size()));
   }
 }
 
-// Every member that is placed was reported as waiting by a machine that still reports. One that was lost at the very
-// moment of the start leaves the others running: a replacement would wait in vain. The loss is known only after a
-// silence that is longer than heartbeats are apart, so the others have told of their start by then.
+// Every member that is placed was reported as waiting by a machine that still reports. One that was
+// lost at the very moment of the start leaves the others running: a replacement would wait in vain.
+// The loss is known only after a silence that is longer than heartbeats are apart, so the others
+// have told of their start by then.
 bool ShardController::all_gathering(const ShardJob& j) {
   return std::all_of(j.desired.placed.begin(), j.desired.placed.end(), [&](const Placement& p) {
     const Machine* m = machine(p.machine);
@@ -184,24 +199,31 @@
 
 const GangReservation* ShardController::reservation_against(const ShardJob& j) const {
   const auto it = gang_reservations_.find(j.shard);
-  return it != gang_reservations_.end() && it->second.keeps_out(j.desired.spec) ? &it->second : nullptr;
+  return it != gang_reservations_.end() && it->second.keeps_out(j.desired.spec) ? &it->second
+                                                                                : nullptr;
 }
 
 // A hold that has not helped in its time gives way to others for as long.
 void ShardController::end_gang_reservation(int shard) {
   const auto it = gang_reservations_.find(shard);
-  if (it == gang_reservations_.end() || (pending_.count(it->second.job) && context_.now < it->second.until)) return;
-  if (context_.now >= it->second.until) next_gang_reservation_[shard] = context_.now + kGangReservationSeconds;
+  if (it == gang_reservations_.end() ||
+      (pending_.count(it->second.job) && context_.now < it->second.until))
+    return;
+  if (context_.now >= it->second.until)
+    next_gang_reservation_[shard] = context_.now + kGangReservationSeconds;
   gang_reservations_.erase(it);
 }
 
 void ShardController::reserve_for_gang(const ShardJob& j) {
-  if (gang_reservations_.count(j.shard) || context_.now < next_gang_reservation_[j.shard] || !gang_within_quota(j)) return;
+  if (gang_reservations_.count(j.shard) || context_.now < next_gang_reservation_[j.shard] ||
+      !gang_within_quota(j))
+    return;
   std::vector<RoomToCome> room;
   for (const auto& [id, m] : machines_) {
     const auto* record = state_cache_.machine(id);
     const auto* type = record ? state_cache_.type(record->record.type) : nullptr;
-    if (m.shard != j.shard || !type || !record->record.usable() || !m.known || m.quarantined() || !sends_heartbeats(m))
+    if (m.shard != j.shard || !type || !record->record.usable() || !m.known || m.quarantined() ||
+        !sends_heartbeats(m))
       continue;
     RoomToCome r{id, record->record.zone, record->record.type, record->record.spot, type->size};
     for (const auto& [key, attempt] : m.placed) {
@@ -210,10 +232,12 @@
     }
     room.push_back(std::move(r));
   }
-  auto machines = machines_to_reserve(j.desired.spec, room, context_.settings.zones, most_new_machines());
+  auto machines =
+      machines_to_reserve(j.desired.spec, room, context_.settings.zones, most_new_machines());
   if (machines.empty()) return;
   context_.counters["gang_holds"]++;
-  context_.info(std::to_string(machines.size()) + " machines are held for gang " + j.desired.spec.id);
+  context_.info(std::to_string(machines.size()) + " machines are held for gang " +
+                j.desired.spec.id);
   gang_reservations_[j.shard] = {j.desired.spec.id, j.desired.spec.rank, std::move(machines),
                                  context_.now + kGangReservationSeconds};
 }
@@ -224,8 +248,9 @@
   return within_quota(j.desired.spec.team, all);
 }
 
-// All in one write, with a condition for each machine. The best places may be on more machines than a transaction takes
-// conditions for: then on as few as can be, or a gang in a fleet with little room on each machine would wait for ever.
+// All in one write, with a condition for each machine. The best places may be on more machines than
+// a transaction takes conditions for: then on as few as can be, or a gang in a fleet with little
+// room on each machine would wait for ever.
 ShardController::PlannedRoom ShardController::room_for_gang(const ShardJob& j, uint32_t need,
                                                             std::vector<Slot>& slots) const {
   PlannedRoom best;
@@ -244,11 +269,13 @@
   return {};
 }
 
-// All that is missing or nothing: a whole attempt, or replacements for members that are known to be gone.
+// All that is missing or nothing: a whole attempt, or replacements for members that are known to be
+// gone.
 bool ShardController::place_gang(const std::string& id, ShardJob& j, std::vector<Slot>& slots) {
   const auto& placed = j.desired.placed;
   const GangPhase phase = gang_phase(j.desired);
-  const bool may_join = phase == GangPhase::idle || (phase == GangPhase::gathering && all_gathering(j));
+  const bool may_join =
+      phase == GangPhase::idle || (phase == GangPhase::gathering && all_gathering(j));
   if (!may_join) return false;
   const uint32_t need = j.desired.spec.tasks - static_cast<uint32_t>(placed.size());
   // No word on the shape: a smaller gang of the same class may fit where this one does not.
@@ -274,13 +301,16 @@
   return true;
 }
 
-bool ShardController::place_some(const std::string& id, ShardJob& j, std::vector<Slot>& slots, bool& no_room) {
+bool ShardController::place_some(const std::string& id, ShardJob& j, std::vector<Slot>& slots,
+                                 bool& no_room) {
   if (j.desired.spec.kind == JobKind::gang) return place_gang(id, j, slots);
   ZoneCounts zones = zones_of(j.desired);
-  std::optional<uint32_t> room;  // in the record; worked out once there is a place, as most that wait find none
-  // A placement is conditioned on its machine's record, and a transaction takes four conditions an operation:
-  // a large array on many machines was refused as malformed, and set aside for a lease, again and again.
-  // What needs more machines goes on with the next write; the job's and the shard's keys count, too.
+  std::optional<uint32_t>
+      room;  // in the record; worked out once there is a place, as most that wait find none
+  // A placement is conditioned on its machine's record, and a transaction takes four conditions an
+  // operation: a large array on many machines was refused as malformed, and set aside for a lease,
+  // again and again. What needs more machines goes on with the next write; the job's and the
+  // shard's keys count, too.
   const size_t most_machines = most_new_machines();
   std::set<std::string> unwritten;
   const auto* durable = state_cache_.job(id);
@@ -289,7 +319,8 @@
   const size_t most_placed = on_probation(j) ? 1 : j.desired.spec.tasks;
   bool any = false;
   for (uint32_t t = next_pending(j.desired, 0);
-       t < j.desired.spec.tasks && room != 0U && j.desired.placed.size() < most_placed; t = next_pending(j.desired, t + 1)) {
+       t < j.desired.spec.tasks && room != 0U && j.desired.placed.size() < most_placed;
+       t = next_pending(j.desired, t + 1)) {
     if (!within_quota(j.desired.spec.team, j.desired.spec.per_task)) break;
     Slot* slot = select_slot_for(j, zones, slots);
     no_room = slot == nullptr;
@@ -317,7 +348,8 @@
 std::string ShardController::placement_class_of(ShardJob& j) const {
   if (!j.avoid.empty()) return "";
   const auto& s = j.desired.spec;
-  // Once a job: written anew for each job in each pass it was a quarter of a pass with thousands waiting.
+  // Once a job: written anew for each job in each pass it was a quarter of a pass with thousands
+  // waiting.
   if (j.shape.empty()) j.shape = s.job_class + "|" + s.team + "|" + placement_shape(s);
   std::string result = j.shape;
   if (can_wait_for_spot(j.desired, context_.settings, context_.wall)) result += "|w";
@@ -334,9 +366,11 @@
   cpu_per_gpu_ = 0;
   for (const auto& [id, j] : jobs_)
     if (j.desired.spec.per_task.gpus > 0)
-      cpu_per_gpu_ = std::max(cpu_per_gpu_, j.desired.spec.per_task.cpus / j.desired.spec.per_task.gpus);
-  const auto first_guest = std::stable_partition(
-      jobs.begin(), jobs.end(), [&](const ShardJob* j) { return !context_.is_best_effort(j->desired.spec.team); });
+      cpu_per_gpu_ =
+          std::max(cpu_per_gpu_, j.desired.spec.per_task.cpus / j.desired.spec.per_task.gpus);
+  const auto first_guest = std::stable_partition(jobs.begin(), jobs.end(), [&](const ShardJob* j) {
+    return !context_.is_best_effort(j->desired.spec.team);
+  });
   const std::vector<ShardJob*> guests(first_guest, jobs.end());
   jobs.erase(first_guest, jobs.end());
   set_headroom_for_arrivals(shard, jobs);
@@ -348,7 +382,8 @@
 }
 
 // A queue for each team, served in turn by shares: who has least of its guarantee is next.
-void ShardController::serve_in_turn(const std::vector<ShardJob*>& jobs, std::vector<Slot>& open_slots) {
+void ShardController::serve_in_turn(const std::vector<ShardJob*>& jobs,
+                                    std::vector<Slot>& open_slots) {
   std::map<std::string, std::vector<ShardJob*>> queues;
   for (ShardJob* j : jobs) queues[j->desired.spec.team].push_back(j);
   std::map<std::string, size_t> next;
@@ -365,7 +400,8 @@
   }
 }
 
-// Best-effort teams' long work filled the spare room, and a gateway that came after it waited for a machine to boot.
+// Best-effort teams' long work filled the spare room, and a gateway that came after it waited for a
+// machine to boot.
 void ShardController::set_expected_room_aside(int shard, std::vector<Slot>& open_slots) const {
   Fit fit;
   fit.cpu_per_gpu = cpu_per_gpu_;
@@ -381,7 +417,8 @@
     }
 }
 
-// What the team uses, as a part of its guarantee and by its share; best-effort teams among themselves, by what they use.
+// What the team uses, as a part of its guarantee and by its share; best-effort teams among
+// themselves, by what they use.
 double ShardController::team_load(const std::string& team) {
   const auto* t = context_.team(team);
   if (!t) return 1e9;
@@ -395,7 +432,8 @@
          share;
 }
 
-void ShardController::schedule_job(ShardJob& j, std::vector<Slot>& open_slots, std::set<std::string>& without_room) {
+void ShardController::schedule_job(ShardJob& j, std::vector<Slot>& open_slots,
+                                   std::set<std::string>& without_room) {
   const std::string& id = j.desired.spec.id;
   const std::string placement_class = placement_class_of(j);
   if (!placement_class.empty() && without_room.count(placement_class)) return;
@@ -408,13 +446,16 @@
         if (slot.machine == p.machine) slot.free.add(p.room);
     }
   if (promised)
-    std::erase_if(preemptor_reservations_,
-                  [&](const PreemptorReservation& p) { return p.job == id && machine(p.machine) == nullptr; });
-  // A record that is full, or a write that is, says nothing of the jobs of the same class behind this one.
+    std::erase_if(preemptor_reservations_, [&](const PreemptorReservation& p) {
+      return p.job == id && machine(p.machine) == nullptr;
+    });
+  // A record that is full, or a write that is, says nothing of the jobs of the same class behind
+  // this one.
   bool no_room = false;
   const bool placed = place_some(id, j, open_slots, no_room);
   if (promised && placed) {
-    std::erase_if(preemptor_reservations_, [&](const PreemptorReservation& p) { return p.job == id; });
+    std::erase_if(preemptor_reservations_,
+                  [&](const PreemptorReservation& p) { return p.job == id; });
   } else if (promised) {
     for (const auto& p : preemptor_reservations_)
       if (p.job == id)
--- a/src/coordination/scheduling/slot_index.cpp
+++ b/src/coordination/scheduling/slot_index.cpp
@@ -79,15 +79,18 @@
   }
 }
 
-// As `pick` holds back: on the slots nearest to the reserve, so that it stands or comes to stand. Slots with as many usable
-// GPUs hold as much, so they are counted and not looked at, but for the last ones.
+// As `pick` holds back: on the slots nearest to the reserve, so that it stands or comes to stand.
+// Slots with as many usable GPUs hold as much, so they are counted and not looked at, but for the
+// last ones.
 void SlotIndex::hold_back(const CapacityHeadroom& reserve) {
-  const bool same = held_.reserve.gpus == reserve.gpus && held_.reserve.gpus_per_task == reserve.gpus_per_task;
+  const bool same =
+      held_.reserve.gpus == reserve.gpus && held_.reserve.gpus_per_task == reserve.gpus_per_task;
   if (held_.known && same) return;
   held_ = {true, reserve, -1, 0, {}};
   const double piece = std::max(1.0, reserve.gpus_per_task);
   double left = reserve.gpus;
-  for (auto group = by_usable_gpus_.cbegin(); left > 0 && group != by_usable_gpus_.cend(); ++group) {
+  for (auto group = by_usable_gpus_.cbegin(); left > 0 && group != by_usable_gpus_.cend();
+       ++group) {
     ++looked_at_;
     const double usable = group->first;
     const double each = std::max(piece, std::floor(usable / piece) * piece);
@@ -105,10 +108,12 @@
   const double usable = held_.last_usable = group->first;
   const double piece = std::max(1.0, reserve.gpus_per_task);
   auto place = group->second.places.begin();
-  // Those that hold as much as they can are counted, where each slot of the group is a place for one piece.
+  // Those that hold as much as they can are counted, where each slot of the group is a place for
+  // one piece.
   if (usable >= piece && left >= usable) {
     const double each = std::floor(usable / piece) * piece;
-    const auto whole = std::min(group->second.places.size(), static_cast<size_t>((left - usable) / each) + 1);
+    const auto whole =
+        std::min(group->second.places.size(), static_cast<size_t>((left - usable) / each) + 1);
     held_.end = *group->second.places.find_by_order(whole - 1) + 1;
     left -= each * static_cast<double>(whole);
     place = group->second.places.find_by_order(whole);
@@ -128,9 +133,11 @@
 
 double SlotIndex::held_on(Place place) const {
   const Slot& slot = slots_[place];
-  if (const auto partly = held_.partly.find(place); partly != held_.partly.end()) return partly->second;
+  if (const auto partly = held_.partly.find(place); partly != held_.partly.end())
+    return partly->second;
   const double usable = usable_gpus(slot.free, cpu_per_gpu_);
-  const bool whole = usable > held_.last_usable || (usable == held_.last_usable && place < held_.end);
+  const bool whole =
+      usable > held_.last_usable || (usable == held_.last_usable && place < held_.end);
   return whole ? held_gpus(slot, usable, held_.reserve, cpu_per_gpu_).value_or(0) : 0;
 }
 
@@ -142,17 +149,20 @@
   return usable_gpus(after, cpu_per_gpu_) + Resources::kSlack >= held;
 }
 
-std::optional<SlotIndex::Place> SlotIndex::best_with_gpus(const Group& group, const JobSpec& spec, bool bound) const {
+std::optional<SlotIndex::Place> SlotIndex::best_with_gpus(const Group& group, const JobSpec& spec,
+                                                          bool bound) const {
   const double most_cpus = group.by_cpus.rbegin()->first;
   if (most_cpus + Resources::kSlack < spec.per_task.cpus) return std::nullopt;
   for (const Place place : group.places) {
     ++looked_at_;
-    if (spec.per_task.fits(slots_[place].free) && (!bound || keeps_headroom(place, spec))) return place;
+    if (spec.per_task.fits(slots_[place].free) && (!bound || keeps_headroom(place, spec)))
+      return place;
   }
   return std::nullopt;
 }
 
-std::optional<SlotIndex::Place> SlotIndex::best_without_gpus(const Group& group, const JobSpec& spec, double least_cpus,
+std::optional<SlotIndex::Place> SlotIndex::best_without_gpus(const Group& group,
+                                                             const JobSpec& spec, double least_cpus,
                                                              bool bound) const {
   const double from = least_cpus - 2 * Resources::kSlack;  // what fits exactly is looked at below
   for (auto it = group.by_cpus.lower_bound({from, 0}); it != group.by_cpus.end(); ++it) {
@@ -164,7 +174,8 @@
   return std::nullopt;
 }
 
-std::optional<SlotIndex::Place> SlotIndex::select_slot(const JobSpec& spec, const ZoneCounts& placed, const Fit& fit) {
+std::optional<SlotIndex::Place> SlotIndex::select_slot(const JobSpec& spec,
+                                                       const ZoneCounts& placed, const Fit& fit) {
   const bool bound = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
   if (bound) hold_back(fit.reserve);
   std::optional<Place> best;
@@ -172,13 +183,15 @@
   for (const auto& [key, group] : groups_) {
     ++looked_at_;
     const auto& [type, zone, spot, empty, pinned, gpus] = key;
-    if (spec.per_task.gpus > gpus + Resources::kSlack || !kind_allowed(spec, spot) || (fit.spot_only && !spot) ||
-        (fit.idle_room_only && !spot && !pinned) || !type_allowed(spec, type->name) || !zone_allowed(spec, *zone, placed))
+    if (spec.per_task.gpus > gpus + Resources::kSlack || !kind_allowed(spec, spot) ||
+        (fit.spot_only && !spot) || (fit.idle_room_only && !spot && !pinned) ||
+        !type_allowed(spec, type->name) || !zone_allowed(spec, *zone, placed))
       continue;
     const bool keeps_gpus = !fit.strand_gpus && spec.per_task.gpus == 0 && type->size.gpus > 0;
     const double least_cpus = spec.per_task.cpus + (keeps_gpus ? gpus * cpu_per_gpu_ : 0);
     const bool by_gpus = type->size.gpus > 0 && spec.per_task.gpus > 0;
-    const auto place = by_gpus ? best_with_gpus(group, spec, bound) : best_without_gpus(group, spec, least_cpus, bound);
+    const auto place = by_gpus ? best_with_gpus(group, spec, bound)
+                               : best_without_gpus(group, spec, least_cpus, bound);
     if (!place) continue;
     const double score = placement_score(spec, slots_[*place]);
     if (best && (score > best_score || (score == best_score && *place > *best))) continue;
