--- a/src/coordination/scheduling/slot_index.h
+++ b/src/coordination/scheduling/slot_index.h
@@ -1,4 +1,5 @@
-// The machines of a plan, indexed so that the best place for a task is found without looking at all of them.
+// The machines of a plan, indexed so that the best place for a task is found without looking at all
+// of them.
 #pragma once
 #include <deque>
 #include <ext/pb_ds/assoc_container.hpp>
@@ -15,11 +16,13 @@
 
 namespace rushtrestle::coordination {
 
-/// Gives the same place as `pick` over a list of the same slots, without images, avoided and held machines.
+/// Gives the same place as `pick` over a list of the same slots, without images, avoided and held
+/// machines.
 ///
-/// Slots that differ in nothing but their number, their free CPUs and their free memory form a group. Within a group the
-/// best place for a task without GPUs is the one with the fewest CPUs left, and for a task with GPUs the first one, so a
-/// look at each group is enough. The number of groups depends on types, zones and GPUs of a machine, not on machines.
+/// Slots that differ in nothing but their number, their free CPUs and their free memory form a
+/// group. Within a group the best place for a task without GPUs is the one with the fewest CPUs
+/// left, and for a task with GPUs the first one, so a look at each group is enough. The number of
+/// groups depends on types, zones and GPUs of a machine, not on machines.
 class SlotIndex {
  public:
   /// Number of a slot, in the order in which they were added.
@@ -31,8 +34,10 @@
   size_t size() const { return slots_.size(); }
   const Slot& at(Place place) const { return slots_[place]; }
 
-  /// The best slot for one more task of the job, or none. `fit.cpu_per_gpu` must be that of `reset`.
-  std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed, const Fit& fit);
+  /// The best slot for one more task of the job, or none. `fit.cpu_per_gpu` must be that of
+  /// `reset`.
+  std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
+                                   const Fit& fit);
   /// A task is put there.
   void take(Place place, const store::Resources& room);
 
@@ -46,7 +51,8 @@
 
  private:
   /// Type, zone, spot, empty, pinned, free GPUs.
-  using GroupKey = std::tuple<const store::MachineType*, const std::string*, bool, bool, bool, double>;
+  using GroupKey =
+      std::tuple<const store::MachineType*, const std::string*, bool, bool, bool, double>;
   struct Group {
     std::set<std::pair<double, Place>> by_cpus;  // free ones
     std::set<Place> places;
@@ -65,8 +71,9 @@
         places;
     std::map<double, size_t> by_gpus;  // number of them by free GPUs
   };
-  /// Where the reserve is held back, as long as no slot with GPUs changes: on all slots with more usable GPUs than
-  /// `last_usable`, on those with as many that come before `end`, and on the ones in `partly`.
+  /// Where the reserve is held back, as long as no slot with GPUs changes: on all slots with more
+  /// usable GPUs than `last_usable`, on those with as many that come before `end`, and on the ones
+  /// in `partly`.
   struct HeldBack {
     bool known = false;
     CapacityHeadroom reserve;
@@ -83,9 +90,10 @@
                  std::map<double, UsableGroup, std::greater<>>::const_iterator group);
   double held_on(Place place) const;
   bool keeps_headroom(Place place, const store::JobSpec& spec) const;
-  std::optional<Place> best_with_gpus(const Group& group, const store::JobSpec& spec, bool bound) const;
-  std::optional<Place> best_without_gpus(const Group& group, const store::JobSpec& spec, double least_cpus,
-                                         bool bound) const;
+  std::optional<Place> best_with_gpus(const Group& group, const store::JobSpec& spec,
+                                      bool bound) const;
+  std::optional<Place> best_without_gpus(const Group& group, const store::JobSpec& spec,
+                                         double least_cpus, bool bound) const;
 
   double cpu_per_gpu_ = 0;
   std::deque<Slot> slots_;
--- a/src/coordination/shard/failure_attribution.cpp
+++ b/src/coordination/shard/failure_attribution.cpp
@@ -12,10 +12,11 @@
 }
 
 MachineVerdict judge_machine(const std::vector<FailedJob>& failed) {
-  const auto accusing =
-      std::count_if(failed.begin(), failed.end(), [](const FailedJob& job) { return !fails_everywhere(job); });
+  const auto accusing = std::count_if(failed.begin(), failed.end(),
+                                      [](const FailedJob& job) { return !fails_everywhere(job); });
   if (accusing < Tunables::kFaultyJobs) return MachineVerdict::healthy;
-  const bool certain = std::any_of(failed.begin(), failed.end(), [](const FailedJob& job) { return job.known_good; });
+  const bool certain = std::any_of(failed.begin(), failed.end(),
+                                   [](const FailedJob& job) { return job.known_good; });
   return certain ? MachineVerdict::faulty : MachineVerdict::suspect;
 }
 
--- a/src/coordination/shard/failure_attribution.h
+++ b/src/coordination/shard/failure_attribution.h
@@ -1,14 +1,17 @@
-// A task failed: is it the job's fault or the machine's? A job that was submitted with a mistake fails on every machine, a
-// faulty machine fails every job. Pure: the shard leader keeps the evidence and acts on the verdict.
+// A task failed: is it the job's fault or the machine's? A job that was submitted with a mistake
+// fails on every machine, a faulty machine fails every job. Pure: the shard leader keeps the
+// evidence and acts on the verdict.
 #pragma once
 #include <cstddef>
 #include <vector>
 
 namespace rushtrestle::coordination {
 
-/// A job of which a task failed on the machine in question since that machine last completed a task.
+/// A job of which a task failed on the machine in question since that machine last completed a
+/// task.
 struct FailedJob {
-  bool known_good = false;        // known to run elsewhere: it completed tasks, or its replicas have run for a lease
+  bool known_good =
+      false;  // known to run elsewhere: it completed tasks, or its replicas have run for a lease
   size_t machines_failed_on = 0;  // this one included; since the job last completed a task
 };
 
@@ -18,7 +21,8 @@
   faulty
 };
 
-/// Does the job fail wherever it is tried, as far as is known? Its failures then say nothing of machines.
+/// Does the job fail wherever it is tried, as far as is known? Its failures then say nothing of
+/// machines.
 bool fails_everywhere(const FailedJob& job);
 
 /// Different jobs that fail on a machine point to it, but only those that don't fail everywhere.
--- a/src/coordination/shard/heartbeats.cpp
+++ b/src/coordination/shard/heartbeats.cpp
@@ -25,18 +25,21 @@
   context_.out.push_back(AnswerForwardedHeartbeat{request, respond(heartbeat, true)});
 }
 
-// Two zones that can't reach each other, or a controller that lost its workers: a worker turned away to a
-// shard leader that it can't reach lost its lease and all its tasks, though others reach both. A worker that
-// already obeys the shard leader's fencing token and comes to us all the same can't reach it: its heartbeat goes to the
-// shard leader through us, and the shard leader's answer back, as if it had come straight. Now and then the worker is
-// sent to the shard leader again.
+// Two zones that can't reach each other, or a controller that lost its workers: a worker turned
+// away to a shard leader that it can't reach lost its lease and all its tasks, though others reach
+// both. A worker that already obeys the shard leader's fencing token and comes to us all the same
+// can't reach it: its heartbeat goes to the shard leader through us, and the shard leader's answer
+// back, as if it had come straight. Now and then the worker is sent to the shard leader again.
 bool ShardController::forward(RequestId request, Heartbeat& heartbeat) {
   const auto* record = state_cache_.machine(heartbeat.machine);
-  if (!record || record->record.terminating() || membership_.shard_token(record->record.shard) != 0) return false;
+  if (!record || record->record.terminating() || membership_.shard_token(record->record.shard) != 0)
+    return false;
   const std::string lease_holder = membership_.shard_leader(record->record.shard);
-  const uint64_t holders = std::max(state_cache_.mod_revision_of(store::shard_key(record->record.shard)),
-                                    state_cache_.mod_revision_of(store::machine_key(heartbeat.machine)));
-  if (lease_holder.empty() || lease_holder == context_.settings.node || heartbeat.fencing_token < holders) {
+  const uint64_t holders =
+      std::max(state_cache_.mod_revision_of(store::shard_key(record->record.shard)),
+               state_cache_.mod_revision_of(store::machine_key(heartbeat.machine)));
+  if (lease_holder.empty() || lease_holder == context_.settings.node ||
+      heartbeat.fencing_token < holders) {
     forwarding_since_.erase(heartbeat.machine);
     return false;
   }
@@ -60,29 +63,33 @@
   }
   ++forwards_in_flight_;
   context_.counters["reports_passed_on"]++;
-  context_.call(
-      ForwardHeartbeat{address, std::move(heartbeat)}, context_.tunables.command_timeout_s, [this, request](CallDone&& d) {
-        --forwards_in_flight_;
-        auto* reply = std::get_if<HeartbeatResponse>(&d.reply);
-        context_.out.push_back(AnswerHeartbeat{request, d.status == 200 && reply ? std::move(*reply) : HeartbeatResponse{}});
-      });
+  context_.call(ForwardHeartbeat{address, std::move(heartbeat)},
+                context_.tunables.command_timeout_s, [this, request](CallDone&& d) {
+                  --forwards_in_flight_;
+                  auto* reply = std::get_if<HeartbeatResponse>(&d.reply);
+                  context_.out.push_back(AnswerHeartbeat{
+                      request, d.status == 200 && reply ? std::move(*reply) : HeartbeatResponse{}});
+                });
   return true;
 }
 
-// A zone cut off from everything, with the shard leader of its workers' part outside: they met a controller of
-// their own zone, were sent to the shard leader that neither reaches, and lost all their tasks a lease later,
-// though nothing had happened to them. A controller that lacks the state service itself, and hears nobody
-// who has it, renews the lease of a worker that obeyed the shard leader known here, with the worker's own fencing token
-// and no orders but to stop what was cancelled before the cut. For how long, and why that leaves every
-// cancellation its time: docs/architecture.md, Cancellation.
+// A zone cut off from everything, with the shard leader of its workers' part outside: they met a
+// controller of their own zone, were sent to the shard leader that neither reaches, and lost all
+// their tasks a lease later, though nothing had happened to them. A controller that lacks the state
+// service itself, and hears nobody who has it, renews the lease of a worker that obeyed the shard
+// leader known here, with the worker's own fencing token and no orders but to stop what was
+// cancelled before the cut. For how long, and why that leaves every cancellation its time:
+// docs/architecture.md, Cancellation.
 bool ShardController::keep_alive(RequestId request, const Heartbeat& heartbeat) {
   if (state_store_.lease_valid() || !membership_.may_renew_while_disconnected()) return false;
   context_.counters["kept_alive"]++;
-  context_.out.push_back(AnswerHeartbeat{request, {200, heartbeat.fencing_token, stops_of_cancelled(heartbeat), ""}});
+  context_.out.push_back(
+      AnswerHeartbeat{request, {200, heartbeat.fencing_token, stops_of_cancelled(heartbeat), ""}});
   return true;
 }
 
-// Always right, whoever sends it and whatever else is under way: no answer that renews a lease goes without.
+// Always right, whoever sends it and whatever else is under way: no answer that renews a lease goes
+// without.
 std::vector<WorkerCommand> ShardController::stops_of_cancelled(const Heartbeat& heartbeat) const {
   std::vector<WorkerCommand> stops;
   for (const auto& t : heartbeat.tasks)
@@ -93,10 +100,11 @@
 
 HeartbeatResponse ShardController::respond(const Heartbeat& heartbeat, bool forwarded) {
   const auto* record = state_cache_.machine(heartbeat.machine);
-  // Restarted in an outage: nobody can read the keys, so nobody can take over, accept or cancel either.
-  // While all controllers agree on that, and what was cancelled before is known from them, the worker's own
-  // fencing token keeps its tasks alive.
-  if (!state_store_.synced() && membership_.outage_shared() && membership_.may_renew_while_disconnected())
+  // Restarted in an outage: nobody can read the keys, so nobody can take over, accept or cancel
+  // either. While all controllers agree on that, and what was cancelled before is known from them,
+  // the worker's own fencing token keeps its tasks alive.
+  if (!state_store_.synced() && membership_.outage_shared() &&
+      membership_.may_renew_while_disconnected())
     return {200, heartbeat.fencing_token, stops_of_cancelled(heartbeat), ""};
   if (!record || record->record.terminating()) return {};
   const int shard = record->record.shard;
@@ -126,8 +134,9 @@
   return {200, fencing_token(*m), std::move(commands), ""};
 }
 
-// What no worker should say changes nothing of what we hold: a task that is not placed here is stopped, whatever its
-// state. Told once in a while, as it shows a faulty worker or a record that was lost.
+// What no worker should say changes nothing of what we hold: a task that is not placed here is
+// stopped, whatever its state. Told once in a while, as it shows a faulty worker or a record that
+// was lost.
 void ShardController::log_inconsistencies(const Heartbeat& heartbeat) {
   for (const auto& t : heartbeat.tasks) {
     const auto* durable = state_cache_.job(t.job);
@@ -135,20 +144,24 @@
     const ShardJob* j = job(t.job);
     const uint64_t given = std::max(durable->record.attempts, j ? j->desired.attempts : 0);
     if (t.attempt > given)
-      context_.log_rate_limited("attempt", heartbeat.machine + " reports attempt " + std::to_string(t.attempt) + " of " +
-                                               t.job + ", of " + std::to_string(given) + " that were given");
+      context_.log_rate_limited(
+          "attempt", heartbeat.machine + " reports attempt " + std::to_string(t.attempt) + " of " +
+                         t.job + ", of " + std::to_string(given) + " that were given");
     if (t.gathering && durable->record.spec.kind != JobKind::gang)
-      context_.log_rate_limited("gathering",
-                                heartbeat.machine + " reports that a task of " + t.job + " gathers, which is no gang");
+      context_.log_rate_limited("gathering", heartbeat.machine + " reports that a task of " +
+                                                 t.job + " gathers, which is no gang");
   }
 }
 
 bool ShardController::apply_heartbeat(Machine& m, const Heartbeat& heartbeat) {
-  if (std::make_pair(heartbeat.agent_epoch, heartbeat.sequence) <= std::make_pair(m.agent_epoch, m.sequence)) return false;
+  if (std::make_pair(heartbeat.agent_epoch, heartbeat.sequence) <=
+      std::make_pair(m.agent_epoch, m.sequence))
+    return false;
   log_inconsistencies(heartbeat);
   // A newer agent epoch: whatever ran is gone, and late commands of the old one are dropped.
   if (heartbeat.agent_epoch > m.agent_epoch) m.unacknowledged_start = 0;
-  if (m.unacknowledged_start != 0 && heartbeat.fencing_token > m.unacknowledged_start) m.unacknowledged_start = 0;
+  if (m.unacknowledged_start != 0 && heartbeat.fencing_token > m.unacknowledged_start)
+    m.unacknowledged_start = 0;
   if (!m.known) want_schedule_ = true;
   m.known = true;
   m.agent_epoch = heartbeat.agent_epoch;
@@ -162,7 +175,8 @@
     std::set<std::string> changed;
     for (const auto& [key, attempt] : m.placed) {
       ShardJob* j = job(key.first);
-      if (!j || j->desired.spec.checkpoint_s <= 0 || *heartbeat.notice_s < j->desired.spec.save_s) continue;
+      if (!j || j->desired.spec.checkpoint_s <= 0 || *heartbeat.notice_s < j->desired.spec.save_s)
+        continue;
       for (auto& p : j->desired.placed)
         if (p.task == key.second) p.stopping = true;
       changed.insert(key.first);
@@ -186,7 +200,9 @@
     Machine* mine = machine(id);
     if (mine) mine->address_queued = false;
     const auto* durable = state_cache_.machine(id);
-    if (!mine || !durable || durable->record.terminating() || durable->record.address == mine->address) return false;
+    if (!mine || !durable || durable->record.terminating() ||
+        durable->record.address == mine->address)
+      return false;
     const uint64_t held = membership_.shard_token(durable->record.shard);
     if (held == 0) return false;
     MachineRecord r = durable->record;
@@ -203,14 +219,17 @@
 void ShardController::task_ended(Machine& m, ShardJob& j, const ReportedTask& t) {
   const std::string id = j.desired.spec.id;
   unbind(j, t.task);
-  // A member that was refused never joined its attempt, and is replaced. Any other end is the end of the attempt: it
-  // stands in the record, as a new shard leader would else add members that wait in vain.
-  const bool never_joined = t.cause == ExitCause::no_room || t.cause == ExitCause::busy || t.cause == ExitCause::unknown;
+  // A member that was refused never joined its attempt, and is replaced. Any other end is the end
+  // of the attempt: it stands in the record, as a new shard leader would else add members that wait
+  // in vain.
+  const bool never_joined =
+      t.cause == ExitCause::no_room || t.cause == ExitCause::busy || t.cause == ExitCause::unknown;
   if (!never_joined) end_attempt(j.desired);
   switch (t.cause) {
     case ExitCause::done:
       if (j.desired.spec.kind == JobKind::array) j.desired.done.insert(t.task);
-      // The tasks of a gang complete together: what a lost machine could not tell any more is done, too.
+      // The tasks of a gang complete together: what a lost machine could not tell any more is done,
+      // too.
       if (j.desired.spec.kind == JobKind::gang)
         for (uint32_t task = 0; task < j.desired.spec.tasks; ++task) j.desired.done.insert(task);
       update_pending(j);
@@ -223,8 +242,8 @@
     case ExitCause::no_room:
     case ExitCause::busy:
     case ExitCause::unknown:
-      context_.info("start refused: " + id + "/" + std::to_string(t.task) + " on " + m.id + " cause " +
-                    std::to_string(static_cast<int>(t.cause)));
+      context_.info("start refused: " + id + "/" + std::to_string(t.task) + " on " + m.id +
+                    " cause " + std::to_string(static_cast<int>(t.cause)));
       j.retry_at = context_.now + context_.settings.heartbeat_interval_s / 2;
       break;
     case ExitCause::stopped:
@@ -236,8 +255,9 @@
   enqueue_job_write(id, cause_of_end(j));
 }
 
-// With a third of the arrays submitted with a mistake, 104 healthy machines were marked for deletion in ten minutes: each
-// failure counted against the machine. And a healthy array was set aside for the tasks that one bad machine had failed.
+// With a third of the arrays submitted with a mistake, 104 healthy machines were marked for
+// deletion in ten minutes: each failure counted against the machine. And a healthy array was set
+// aside for the tasks that one bad machine had failed.
 void ShardController::task_failed(Machine& m, ShardJob& j) {
   context_.counters["task_errors"]++;
   m.failed_jobs.insert(j.desired.spec.id);
@@ -250,7 +270,8 @@
   if (context_.now >= j.retry_at) {
     constexpr int kMostDoublings = 5;
     j.backoff_level = std::min(j.backoff_level + 1, kMostDoublings);
-    j.retry_at = context_.now + context_.jitter(context_.settings.heartbeat_interval_s * std::pow(2.0, j.backoff_level));
+    j.retry_at = context_.now + context_.jitter(context_.settings.heartbeat_interval_s *
+                                                std::pow(2.0, j.backoff_level));
     j.avoid.clear();
   }
   // What it was blamed for elsewhere is blamed on it.
@@ -258,7 +279,8 @@
     if (Machine* other = machine(id)) judge(*other);
 }
 
-// Known to run: an array that has completed a task, a service or gang that has run for a worker's lease.
+// Known to run: an array that has completed a task, a service or gang that has run for a worker's
+// lease.
 bool ShardController::known_good(const ShardJob& j) const {
   if (j.desired.done.size() > 0) return true;
   return j.desired.spec.kind != JobKind::array && j.desired.running() > 0 &&
@@ -267,7 +289,8 @@
 
 // An array that fails everywhere is tried with one task at a time: what it costs is bounded.
 bool ShardController::on_probation(const ShardJob& j) const {
-  return j.desired.spec.kind == JobKind::array && fails_everywhere({known_good(j), j.failed_on.size()});
+  return j.desired.spec.kind == JobKind::array &&
+         fails_everywhere({known_good(j), j.failed_on.size()});
 }
 
 void ShardController::judge(Machine& m) {
@@ -282,21 +305,28 @@
   if (before == m.verdict) return;
   if (before == MachineVerdict::healthy) m.suspect_since = context_.now;
   want_schedule_ = true;
-  context_.info("machine " + m.id +
-                (m.quarantined() ? " quarantined: tasks of different jobs fail on it" : " is trusted again"));
+  context_.info(
+      "machine " + m.id +
+      (m.quarantined() ? " quarantined: tasks of different jobs fail on it" : " is trusted again"));
 }
 
 // One line a job: where the time went until all its tasks ran.
 void ShardController::log_first_run(ShardJob& j) {
-  if (j.adopted_at == 0 || j.whole_at != 0 || j.desired.running() + j.desired.done.size() < j.desired.spec.tasks) return;
+  if (j.adopted_at == 0 || j.whole_at != 0 ||
+      j.desired.running() + j.desired.done.size() < j.desired.spec.tasks)
+    return;
   j.whole_at = context_.now;
   if (!context_.logs(LogLine::Level::debug)) return;
-  const auto ms = [&](double at) { return std::to_string(static_cast<int>(std::max(0.0, at - j.adopted_at) * 1000)); };
+  const auto ms = [&](double at) {
+    return std::to_string(static_cast<int>(std::max(0.0, at - j.adopted_at) * 1000));
+  };
   context_.debug(
       "job " + j.desired.spec.id + " of " + j.desired.spec.job_class + " runs whole: seen " +
-      std::to_string(static_cast<int>((context_.wall - j.desired.submitted - (context_.now - j.adopted_at)) * 1000)) +
-      " ms after its acceptance, then placed after " + ms(j.first_placed_at) + " to " + ms(j.last_placed_at) + ", written " +
-      ms(j.first_written_at) + ", running " + ms(context_.now) + "; " + std::to_string(j.fetches) + " of " +
+      std::to_string(static_cast<int>(
+          (context_.wall - j.desired.submitted - (context_.now - j.adopted_at)) * 1000)) +
+      " ms after its acceptance, then placed after " + ms(j.first_placed_at) + " to " +
+      ms(j.last_placed_at) + ", written " + ms(j.first_written_at) + ", running " +
+      ms(context_.now) + "; " + std::to_string(j.fetches) + " of " +
       std::to_string(j.desired.spec.tasks) + " tasks without their image");
 }
 
@@ -325,14 +355,16 @@
 }
 
 // A task that is placed on the machine and is there.
-void ShardController::update_task(ShardJob& j, const ReportedTask& t, std::vector<WorkerCommand>& commands) {
+void ShardController::update_task(ShardJob& j, const ReportedTask& t,
+                                  std::vector<WorkerCommand>& commands) {
   for (auto& p : j.desired.placed) {
     if (p.task != t.task) continue;
     if (t.state == TaskState::running && !p.running) {
       p.running = true;
       j.desired.last_start = context_.wall;
       log_first_run(j);
-      enqueue_job_write(t.job, j.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase : WriteCause::running_mark);
+      enqueue_job_write(t.job, j.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase
+                                                                    : WriteCause::running_mark);
     }
     const auto* durable = state_cache_.job(t.job);
     const auto* d = durable ? durable->record.same_placement(p) : nullptr;
@@ -345,7 +377,8 @@
   }
 }
 
-// A task that is not placed on the machine (any more). While the record still says so, it is left alone.
+// A task that is not placed on the machine (any more). While the record still says so, it is left
+// alone.
 void ShardController::stop_unexpected_task(const Machine& m, const ReportedTask& t,
                                            std::vector<WorkerCommand>& commands) const {
   const auto* durable = state_cache_.job(t.job);
@@ -360,11 +393,14 @@
   }
 }
 
-// Tasks that are placed on the machine and not there: started, or, if they were to be stopped, known to be gone.
+// Tasks that are placed on the machine and not there: started, or, if they were to be stopped,
+// known to be gone.
 bool ShardController::start_missing_tasks(Machine& m, const std::set<TaskKey>& present,
                                           std::vector<WorkerCommand>& commands) {
-  // Absence counts only in a heartbeat given under our fencing token, with no command of ours under way.
-  const bool absence_counts = m.unacknowledged_start == 0 && m.highest_token_seen >= fencing_token(m) && !m.in_flight;
+  // Absence counts only in a heartbeat given under our fencing token, with no command of ours under
+  // way.
+  const bool absence_counts =
+      m.unacknowledged_start == 0 && m.highest_token_seen >= fencing_token(m) && !m.in_flight;
   const bool may_start = can_act() && sends_heartbeats(m);
   bool has_start = false;
   std::vector<TaskKey> gone;
@@ -377,8 +413,10 @@
     if (!p || !durable || !durable->record.same_placement(*p)) continue;  // not durable yet
     if (j->desired.status != JobStatus::open || p->stopping) {
       if (absence_counts) gone.push_back(key);
-    } else if (may_start && durable->record.status == JobStatus::open && durable->mod_revision != j->unsettled_revision) {
-      // Not on a machine that reaches no controller, though our commands reach it: its lease would soon end it again.
+    } else if (may_start && durable->record.status == JobStatus::open &&
+               durable->mod_revision != j->unsettled_revision) {
+      // Not on a machine that reaches no controller, though our commands reach it: its lease would
+      // soon end it again.
       commands.push_back({WorkerVerb::start, key.first, key.second, attempt, 0});
       has_start = true;
     }
@@ -403,15 +441,18 @@
   send_commands(m, std::move(commands), has_start);
 }
 
-// Each command that waits for its answer takes a socket, and a machine that is gone gives none until the time-out. With a
-// command to each machine of a lost zone at once no socket was left for the state service, whose lease lapsed, and
-// commands that had found no socket were taken for machines that don't answer.
+// Each command that waits for its answer takes a socket, and a machine that is gone gives none
+// until the time-out. With a command to each machine of a lost zone at once no socket was left for
+// the state service, whose lease lapsed, and commands that had found no socket were taken for
+// machines that don't answer.
 bool ShardController::has_command_slot(const Machine& m) const {
   if (commands_in_flight_ >= context_.tunables.command_slots) return false;
-  return m.commands_failing_since == 0 || silent_commands_in_flight_ < context_.tunables.silent_command_slots;
+  return m.commands_failing_since == 0 ||
+         silent_commands_in_flight_ < context_.tunables.silent_command_slots;
 }
 
-void ShardController::send_commands(Machine& m, std::vector<WorkerCommand> commands, bool has_start) {
+void ShardController::send_commands(Machine& m, std::vector<WorkerCommand> commands,
+                                    bool has_start) {
   m.dispatch_wanted = false;
   m.in_flight = true;
   context_.counters["direct_commands"]++;
@@ -428,7 +469,8 @@
                 });
 }
 
-void ShardController::commands_answered(const std::string& id, uint64_t used_token, bool has_start, const CallDone& d) {
+void ShardController::commands_answered(const std::string& id, uint64_t used_token, bool has_start,
+                                        const CallDone& d) {
   Machine* mine = machine(id);
   if (!mine) return;
   mine->in_flight = false;
@@ -440,7 +482,8 @@
     if (d.status == 409 && heartbeat->fencing_token > fencing_token(*mine))
       mine->next_dispatch = context_.now + context_.tunables.probe_every_s;
     // The worker hears us again: a new fencing token shuts out what is still under way.
-    if (mine->unacknowledged_start != 0) write_machine(id, WriteCause::other, [](MachineRecord&) { return true; });
+    if (mine->unacknowledged_start != 0)
+      write_machine(id, WriteCause::other, [](MachineRecord&) { return true; });
   } else {
     if (has_start) mine->unacknowledged_start = std::max(mine->unacknowledged_start, used_token);
     if (mine->commands_failing_since == 0) {
--- a/src/coordination/shard/machine_health.cpp
+++ b/src/coordination/shard/machine_health.cpp
@@ -32,7 +32,8 @@
   const auto* record = state_cache_.machine(m.id);
   const auto zone = record ? silence_.find(record->record.zone) : silence_.end();
   return zone != silence_.end() &&
-         zone->second.silent > std::max(3.0, zone->second.machines * Tunables::kCorrelatedSilenceShare);
+         zone->second.silent >
+             std::max(3.0, zone->second.machines * Tunables::kCorrelatedSilenceShare);
 }
 
 void ShardController::mark_for_deletion(Machine& m, const std::string& why) {
@@ -49,16 +50,20 @@
 void ShardController::check_health(Machine& m) {
   const auto* record = state_cache_.machine(m.id);
   if (!record || record->record.terminating()) return;
-  if (m.verdict == MachineVerdict::suspect) judge(m);  // jobs may have been vouched for, or called off, meanwhile
+  if (m.verdict == MachineVerdict::suspect)
+    judge(m);  // jobs may have been vouched for, or called off, meanwhile
   const bool out_of_doubt =
       m.verdict == MachineVerdict::faulty ||
-      (m.verdict == MachineVerdict::suspect && context_.now - m.suspect_since > context_.settings.lease_s * kDoubtLeases);
+      (m.verdict == MachineVerdict::suspect &&
+       context_.now - m.suspect_since > context_.settings.lease_s * kDoubtLeases);
   if (out_of_doubt && m.placed.empty()) return mark_for_deletion(m, "faulty");
   if (m.address.empty()) {
     const auto* type = state_cache_.type(record->record.type);
     const double patience =
-        (type ? type->boot_s : context_.settings.lease_s) * Tunables::kBootPatience + context_.settings.lease_s;
-    if (context_.wall - record->record.since > patience && context_.now - m.since > context_.settings.lease_s)
+        (type ? type->boot_s : context_.settings.lease_s) * Tunables::kBootPatience +
+        context_.settings.lease_s;
+    if (context_.wall - record->record.since > patience &&
+        context_.now - m.since > context_.settings.lease_s)
       mark_for_deletion(m, "never came up");
     return;
   }
@@ -67,32 +72,41 @@
     m.dispatch_wanted = true;
     dispatch_queue_.insert(m.id);
   }
-  // Deaf is who speaks and does not hear: silent machines, whose heartbeats came with the end of a cut, were
-  // marked for deletion at that very moment for the commands that had failed in it.
+  // Deaf is who speaks and does not hear: silent machines, whose heartbeats came with the end of a
+  // cut, were marked for deletion at that very moment for the commands that had failed in it.
   const bool failing = m.commands_failing_since > 0;
-  const double deaf = failing ? context_.now - std::max(m.commands_failing_since, m.heard_since) : 0;
+  const double deaf =
+      failing ? context_.now - std::max(m.commands_failing_since, m.heard_since) : 0;
   const bool lost_both = silent > context_.tunables.silence_limit_s && failing;
   const bool deaf_only = deaf > context_.tunables.silence_limit_s;
-  // Answers our commands, but reaches no controller: its lease has ended, and would again and again.
+  // Answers our commands, but reaches no controller: its lease has ended, and would again and
+  // again.
   const double unreported = context_.now - m.last_heartbeat;
   const bool mute = unreported > context_.settings.lease_s && !failing;
   if (!lost_both && !deaf_only && !mute) return;
-  // Cut off from us, not from others. It hears the answers to what they pass on, or its lease would end
-  // and its agent epoch with it; but nothing new can be started there, so not for ever.
-  // A try to reach us straight takes most of a lease.
-  if (context_.now - m.forwarded_at < context_.settings.lease_s && m.agent_epoch == m.epoch_when_unreachable &&
-      deaf < context_.tunables.forward_limit_s)
+  // Cut off from us, not from others. It hears the answers to what they pass on, or its lease would
+  // end and its agent epoch with it; but nothing new can be started there, so not for ever. A try
+  // to reach us straight takes most of a lease.
+  if (context_.now - m.forwarded_at < context_.settings.lease_s &&
+      m.agent_epoch == m.epoch_when_unreachable && deaf < context_.tunables.forward_limit_s)
     return;
   // Peers that hear it, or many silent at once, point to the network, not to the machine.
-  const bool doubtful = correlated_silence(m) || ((lost_both || mute) && membership_.peer_hears(m.id));
-  if (doubtful && std::max({silent, deaf, unreported}) < context_.tunables.correlated_silence_limit_s) return;
+  const bool doubtful =
+      correlated_silence(m) || ((lost_both || mute) && membership_.peer_hears(m.id));
+  if (doubtful &&
+      std::max({silent, deaf, unreported}) < context_.tunables.correlated_silence_limit_s)
+    return;
   // However sure it looks, only a few go at a time: a cut that peers don't see (one of them just
   // restarted, say) would else cost a whole zone's machines at the same moment.
-  std::erase_if(marked_for_deletion_at_, [&](double t) { return context_.now - t > context_.tunables.silence_limit_s; });
-  const double most = std::max(3.0, static_cast<double>(machines_.size()) * Tunables::kMarkForDeletionShare);
+  std::erase_if(marked_for_deletion_at_,
+                [&](double t) { return context_.now - t > context_.tunables.silence_limit_s; });
+  const double most =
+      std::max(3.0, static_cast<double>(machines_.size()) * Tunables::kMarkForDeletionShare);
   if (m.marking_for_deletion || static_cast<double>(marked_for_deletion_at_.size()) >= most) return;
   marked_for_deletion_at_.push_back(context_.now);
-  mark_for_deletion(m, lost_both ? "silent" : deaf_only ? "does not hear" : "reaches no controller");
+  mark_for_deletion(m, lost_both   ? "silent"
+                       : deaf_only ? "does not hear"
+                                   : "reaches no controller");
 }
 
 void ShardController::answer_reassignment(Machine& m) {
@@ -100,36 +114,39 @@
   if (!record || record->record.phase != MachinePhase::reassignment_requested) return;
   const bool empty = m.placed.empty();
   if (!empty && record->record.drain && (m.pinned == 0 || record->record.next_shard < 0)) {
-    // The leader takes it back, for a team within its guarantee or because its work fits on fewer machines:
-    // what runs here is stopped, saved and queued again. For the latter alone no work is lost.
+    // The leader takes it back, for a team within its guarantee or because its work fits on fewer
+    // machines: what runs here is stopped, saved and queued again. For the latter alone no work is
+    // lost.
     const bool spare_work = record->record.next_shard < 0;
     std::set<std::string> changed;
     for (const auto& [key, attempt] : m.placed)
       if (ShardJob* j = job(key.first))
         for (auto& p : j->desired.placed)
           if (p.task == key.second && !p.stopping &&
-              !(spare_work && j->desired.spec.kind != JobKind::service && j->desired.spec.checkpoint_s <= 0)) {
+              !(spare_work && j->desired.spec.kind != JobKind::service &&
+                j->desired.spec.checkpoint_s <= 0)) {
             p.stopping = true;
             changed.insert(key.first);
           }
     for (const auto& id : changed) enqueue_job_write(id, WriteCause::stop);
     return;
   }
-  write_machine(m.id, WriteCause::machine_reassignment_answer, [this, empty, id = m.id](MachineRecord& r) {
-    if (r.phase != MachinePhase::reassignment_requested) return false;
-    const Machine* mine = machine(id);
-    r.drain = false;
-    if (empty && mine && mine->placed.empty()) {
-      if (r.next_shard < 0) {
-        r.phase = MachinePhase::released;
-        return true;
-      }
-      r.shard = r.next_shard;
-    }
-    r.phase = MachinePhase::assigned;
-    r.next_shard = -1;
-    return true;
-  });
+  write_machine(m.id, WriteCause::machine_reassignment_answer,
+                [this, empty, id = m.id](MachineRecord& r) {
+                  if (r.phase != MachinePhase::reassignment_requested) return false;
+                  const Machine* mine = machine(id);
+                  r.drain = false;
+                  if (empty && mine && mine->placed.empty()) {
+                    if (r.next_shard < 0) {
+                      r.phase = MachinePhase::released;
+                      return true;
+                    }
+                    r.shard = r.next_shard;
+                  }
+                  r.phase = MachinePhase::assigned;
+                  r.next_shard = -1;
+                  return true;
+                });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/shard_controller.cpp
+++ b/src/coordination/shard/shard_controller.cpp
@@ -12,8 +12,9 @@
 using store::MachineRecord;
 using store::Placement;
 
-ShardController::ShardController(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
-                                 Membership& membership, ImageCaches& images, const ArrivalForecast& demand)
+ShardController::ShardController(Context& context, store::StateCache& state_cache,
+                                 StateStoreClient& state_store, Membership& membership,
+                                 ImageCaches& images, const ArrivalForecast& demand)
     : context_(context),
       state_cache_(state_cache),
       state_store_(state_store),
@@ -32,7 +33,8 @@
 }
 
 uint64_t ShardController::fencing_token(const Machine& m) const {
-  return std::max(membership_.shard_token(m.shard), state_cache_.mod_revision_of(store::machine_key(m.id)));
+  return std::max(membership_.shard_token(m.shard),
+                  state_cache_.mod_revision_of(store::machine_key(m.id)));
 }
 
 int ShardController::shard_of_machine(const std::string& id) const {
@@ -111,14 +113,15 @@
   want_schedule_ = true;
 }
 
-// The record may still place tasks on a machine that is gone: its shard leader crashed before it wrote that, or the
-// write had no answer and the record was taken up again after the machine had gone. Nothing would ever
-// report those tasks, and their job would never end.
+// The record may still place tasks on a machine that is gone: its shard leader crashed before it
+// wrote that, or the write had no answer and the record was taken up again after the machine had
+// gone. Nothing would ever report those tasks, and their job would never end.
 void ShardController::drop_gone_placements(const std::string& id) {
   ShardJob* j = job(id);
   std::vector<uint32_t> gone;
   for (const auto& p : j->desired.placed)
-    if (const auto* m = state_cache_.machine(p.machine); m && m->record.phase == MachinePhase::deleted)
+    if (const auto* m = state_cache_.machine(p.machine);
+        m && m->record.phase == MachinePhase::deleted)
       gone.push_back(p.task);
   if (gone.empty()) return;
   for (const uint32_t t : gone) lose_member(*j, t);
@@ -155,7 +158,9 @@
   for (const auto& p : durable->record.placed) {
     const auto* m = state_cache_.machine(p.machine);
     const auto* type = m ? state_cache_.type(m->record.type) : nullptr;
-    if (type) images_.used(p.machine, durable->record.spec.image, durable->record.spec.image_gb, type->cache_gb);
+    if (type)
+      images_.used(p.machine, durable->record.spec.image, durable->record.spec.image_gb,
+                   type->cache_gb);
   }
   if (!shards_.count(shard)) return;
   ShardJob* j = job(id);
@@ -171,8 +176,8 @@
     update_pending(*j);
     for (const auto& p : j->desired.placed) dispatch_queue_.insert(p.machine);
   }
-  // What the cancelled record does not place will never be durable, so it was not started. Not so for one that was
-  // only learned from peers: a write of ours without an answer may stand below it.
+  // What the cancelled record does not place will never be durable, so it was not started. Not so
+  // for one that was only learned from peers: a write of ours without an answer may stand below it.
   if (durable->record.status == JobStatus::cancelled) {
     std::vector<uint32_t> unsent;
     for (const auto& p : j->desired.placed) {
@@ -219,8 +224,8 @@
 void ShardController::machine_gone(const std::string& id) {
   TasksOnMachine tasks;
   if (const auto on = placed_on_.find(id); on != placed_on_.end()) tasks = on->second;
-  // Written with their next placement, or after a pass that finds none: apart, the two writes of each of some
-  // hundreds of jobs took twice as long to leave when dozens of machines died at once.
+  // Written with their next placement, or after a pass that finds none: apart, the two writes of
+  // each of some hundreds of jobs took twice as long to leave when dozens of machines died at once.
   for (const auto& [key, attempt] : tasks) {
     lose_member(*job(key.first), key.second);
     jobs_that_lost_tasks_.insert(key.first);
@@ -244,7 +249,8 @@
 
 void ShardController::unbind(ShardJob& j, uint32_t task) {
   auto& placed = j.desired.placed;
-  const auto it = std::find_if(placed.begin(), placed.end(), [&](const Placement& p) { return p.task == task; });
+  const auto it = std::find_if(placed.begin(), placed.end(),
+                               [&](const Placement& p) { return p.task == task; });
   if (it == placed.end()) return;
   index(j.desired, *it, -1);
   j.left.insert(it->machine);
@@ -253,17 +259,17 @@
   want_schedule_ = true;
 }
 
-// The task's machine is gone. A gang that runs can't go on without a member; one that still gathers takes a
-// replacement.
+// The task's machine is gone. A gang that runs can't go on without a member; one that still gathers
+// takes a replacement.
 void ShardController::lose_member(ShardJob& j, uint32_t task) {
   const bool gathering = gang_phase(j.desired) == GangPhase::gathering;
   unbind(j, task);
   if (!gathering) end_attempt(j.desired);
 }
 
-// Somebody waits for a job to be done, and the end of a gang's attempt must not be unknown to the next shard leader. Other
-// ends wait for more of the same record: the worker keeps what has ended until the end is durable, so nothing is lost with
-// us.
+// Somebody waits for a job to be done, and the end of a gang's attempt must not be unknown to the
+// next shard leader. Other ends wait for more of the same record: the worker keeps what has ended
+// until the end is durable, so nothing is lost with us.
 WriteCause ShardController::cause_of_end(const ShardJob& j) const {
   if (j.desired.status == JobStatus::done) return WriteCause::job_done;
   return j.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase : WriteCause::task_end;
@@ -284,7 +290,9 @@
   w.rank = j->desired.spec.rank;
   w.team = j->desired.spec.team;
   w.prepare = [this, id](Prepared& p) { return prepare_job_write(id, p); };
-  w.done = [this, id](WriteOutcome outcome, uint64_t mod_revision) { job_written(id, outcome, mod_revision); };
+  w.done = [this, id](WriteOutcome outcome, uint64_t mod_revision) {
+    job_written(id, outcome, mod_revision);
+  };
   state_store_.write(std::move(w));
 }
 
@@ -303,31 +311,36 @@
   p.value = to_json(owned->desired);
   if (state_store_.refuses(*p.value)) return false;  // until enough of its tasks have ended
   p.preconditions.push_back({store::shard_key(owned->shard), held});
-  // Whoever cancels a job whose record is too large to be written again writes beside it (JobService::write_cancel): what
-  // was decided before that must not stand after it.
+  // Whoever cancels a job whose record is too large to be written again writes beside it
+  // (JobService::write_cancel): what was decided before that must not stand after it.
   if (state_store_.oversized(to_json(durable->record)))
-    p.preconditions.push_back({store::cancel_key(id), state_cache_.mod_revision_of(store::cancel_key(id))});
+    p.preconditions.push_back(
+        {store::cancel_key(id), state_cache_.mod_revision_of(store::cancel_key(id))});
   // A new placement holds only if its machine was not offered or marked for deletion meanwhile.
   for (const auto& placed : owned->desired.placed) {
     if (!durable->record.same_placement(placed))
-      p.preconditions.push_back(
-          {store::machine_key(placed.machine), state_cache_.mod_revision_of(store::machine_key(placed.machine))});
+      p.preconditions.push_back({store::machine_key(placed.machine),
+                                 state_cache_.mod_revision_of(store::machine_key(placed.machine))});
   }
   return true;
 }
 
-void ShardController::job_written(const std::string& id, WriteOutcome outcome, uint64_t mod_revision) {
+void ShardController::job_written(const std::string& id, WriteOutcome outcome,
+                                  uint64_t mod_revision) {
   ShardJob* owned = job(id);
   if (!owned) return;
   if (outcome == WriteOutcome::applied) {
     owned->written = owned->prepared;
-    if (owned->first_written_at == 0 && owned->first_placed_at > 0) owned->first_written_at = context_.now;
+    if (owned->first_written_at == 0 && owned->first_placed_at > 0)
+      owned->first_written_at = context_.now;
     queue_commands_for(*owned);
     want_schedule_ |= pending_.count(id) != 0;
-    if (owned->desired.final_state() && owned->desired.placed.empty() && !owned->dirty() && !jobs_that_lost_tasks_.count(id))
+    if (owned->desired.final_state() && owned->desired.placed.empty() && !owned->dirty() &&
+        !jobs_that_lost_tasks_.count(id))
       drop_job(id);
   } else if (outcome != WriteOutcome::skipped) {
-    if (outcome == WriteOutcome::refused) owned->retry_at = context_.now + context_.settings.lease_s;
+    if (outcome == WriteOutcome::refused)
+      owned->retry_at = context_.now + context_.settings.lease_s;
     queue_commands_for(*owned);
     reset_to_durable(id);
     owned = job(id);
@@ -337,9 +350,10 @@
   }
 }
 
-// A write without an answer may be carried out seconds later, over what its shard leader has read and begun from meanwhile:
-// tasks that were started by the record as it was ran on, while the late write placed them elsewhere. Any write moves the
-// mod revision, and only one of the two is carried out; until then nothing is started (start_missing_tasks).
+// A write without an answer may be carried out seconds later, over what its shard leader has read
+// and begun from meanwhile: tasks that were started by the record as it was ran on, while the late
+// write placed them elsewhere. Any write moves the mod revision, and only one of the two is carried
+// out; until then nothing is started (start_missing_tasks).
 void ShardController::settle_by_writing(ShardJob& j, uint64_t mod_revision) {
   j.unsettled_revision = mod_revision;
   enqueue_job_write(j.desired.spec.id, WriteCause::placement);
@@ -352,7 +366,8 @@
   j.left.clear();
 }
 
-void ShardController::write_machine(const std::string& id, WriteCause cause, std::function<bool(MachineRecord&)> change) {
+void ShardController::write_machine(const std::string& id, WriteCause cause,
+                                    std::function<bool(MachineRecord&)> change) {
   Machine* m = machine(id);
   if (!m || m->writing) return;
   m->writing = true;
@@ -381,8 +396,9 @@
   state_store_.write(std::move(w));
 }
 
-// Peers ask this of machines that they are responsible for, so ours are left out: with them, the messages between
-// controllers grew with the fleet and cost as much processor time as the workers' heartbeats.
+// Peers ask this of machines that they are responsible for, so ours are left out: with them, the
+// messages between controllers grew with the fleet and cost as much processor time as the workers'
+// heartbeats.
 std::vector<std::string> ShardController::machines_heard_of_other_shards() const {
   std::vector<std::string> out;
   for (const auto& [id, at] : last_heard_at_) {
@@ -406,9 +422,12 @@
         if (m->dispatch_wanted) dispatch_queue_.insert(id);
       }
     }
-    std::erase_if(last_heard_at_, [&](const auto& h) { return context_.now - h.second > context_.settings.lease_s; });
+    std::erase_if(last_heard_at_, [&](const auto& h) {
+      return context_.now - h.second > context_.settings.lease_s;
+    });
     std::erase_if(forwarding_since_, [&](const auto& r) { return !last_heard_at_.count(r.first); });
-    std::erase_if(preemptor_reservations_, [&](const PreemptorReservation& p) { return context_.now > p.until; });
+    std::erase_if(preemptor_reservations_,
+                  [&](const PreemptorReservation& p) { return context_.now > p.until; });
     want_schedule_ = true;
   }
   if (context_.now >= next_scan_ && can_act()) {
@@ -424,7 +443,8 @@
     if (want_schedule_) due = std::min(due, next_schedule_);
   }
   // Those left by `work` are for the next batch, or for the next answer that makes a slot free.
-  if (!dispatch_queue_.empty() && commands_in_flight_ < context_.tunables.command_slots) due = context_.now;
+  if (!dispatch_queue_.empty() && commands_in_flight_ < context_.tunables.command_slots)
+    due = context_.now;
   if (!delayed_dispatch_.empty()) due = std::min(due, delayed_dispatch_.begin()->first);
   return due;
 }
@@ -435,13 +455,15 @@
     next_schedule_ = context_.now + context_.settings.heartbeat_interval_s / 50;
     for (const int shard : shards_)
       if (membership_.shard_token(shard) != 0) schedule(shard);
-    for (const auto& id : std::exchange(jobs_that_lost_tasks_, {})) enqueue_job_write(id, WriteCause::placement);
+    for (const auto& id : std::exchange(jobs_that_lost_tasks_, {}))
+      enqueue_job_write(id, WriteCause::placement);
   }
   dispatch_due_commands();
 }
 
-// In turn by id, a bounded number in a batch: with little processor time the commands to all machines of a shard that was
-// just taken over took seconds, in which no renewal of the lease left, and the shard was lost again.
+// In turn by id, a bounded number in a batch: with little processor time the commands to all
+// machines of a shard that was just taken over took seconds, in which no renewal of the lease left,
+// and the shard was lost again.
 void ShardController::dispatch_due_commands() {
   constexpr size_t kMostInABatch = 16;
   while (!delayed_dispatch_.empty() && delayed_dispatch_.begin()->first <= context_.now)
--- a/src/coordination/shard/shard_controller.h
+++ b/src/coordination/shard/shard_controller.h
@@ -17,8 +17,8 @@
 
 class ShardController {
  public:
-  ShardController(Context& context, store::StateCache& state_cache, StateStoreClient& state_store, Membership& membership,
-                  ImageCaches& images, const ArrivalForecast& demand);
+  ShardController(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
+                  Membership& membership, ImageCaches& images, const ArrivalForecast& demand);
 
   void on_shard_acquired(int shard);
   void on_shard_lost(int shard);
@@ -27,7 +27,8 @@
   void handle_heartbeat(RequestId request, Heartbeat&& heartbeat);
   void handle_forwarded_heartbeat(RequestId request, const Heartbeat& heartbeat);
   void tick();
-  /// When `tick` or `work` has something to do by the clock alone; a time that has passed: as soon as can be.
+  /// When `tick` or `work` has something to do by the clock alone; a time that has passed: as soon
+  /// as can be.
   double next_due() const;
   /// At the end of a batch: place what waits, command whoever needs it.
   void work();
@@ -41,12 +42,12 @@
   struct ShardJob {
     store::JobRecord desired;  // what shall be; the state cache holds what is durable
     int shard = 0;
-    // A write may be prepared more than once before it is carried out (refused for the rate, or beside
-    // another's conflict): only what was applied counts as written.
+    // A write may be prepared more than once before it is carried out (refused for the rate, or
+    // beside another's conflict): only what was applied counts as written.
     uint64_t version = 0, prepared = 0, written = 0;
     bool dirty() const { return version != written; }
-    // Mod revision of the record under which a write of ours had no answer: until the mod revision has moved, that write may
-    // replace what the record says now. 0: none.
+    // Mod revision of the record under which a write of ours had no answer: until the mod revision
+    // has moved, that write may replace what the record says now. 0: none.
     uint64_t unsettled_revision = 0;
     std::optional<WritePriority> queued_priority;  // of its write that waits
     double retry_at = 0;
@@ -54,27 +55,30 @@
     int backoff_level = 0;            // times that it was set aside because it fails everywhere
     std::set<std::string> avoid;      // machines, until avoid_until
     double avoid_until = 0;
-    std::set<std::string> left;  // machines that its tasks have left since the last write: may forget them after it
+    std::set<std::string>
+        left;  // machines that its tasks have left since the last write: may forget them after it
     // When this owner saw the steps to the job's first whole run, for the log; 0: not seen.
-    double adopted_at = 0, first_placed_at = 0, last_placed_at = 0, first_written_at = 0, whole_at = 0;
-    uint32_t fetches = 0;               // tasks placed where their image was not known to be
-    std::string shape;                  // what its placement class says of its description, which never changes
+    double adopted_at = 0, first_placed_at = 0, last_placed_at = 0, first_written_at = 0,
+           whole_at = 0;
+    uint32_t fetches = 0;  // tasks placed where their image was not known to be
+    std::string shape;     // what its placement class says of its description, which never changes
     std::optional<double> due_after_s;  // likewise, once it was looked at in waiting order
   };
   struct Machine {
     std::string id;
     int shard = 0;
-    double since = 0;           // when we began to be responsible for it
-    double last_seen = 0;       // last newer heartbeat, however it came
-    double last_heartbeat = 0;  // last one that the worker sent by itself: direct answers renew no lease
-    double heard_since = 0;     // when a silence last ended
+    double since = 0;      // when we began to be responsible for it
+    double last_seen = 0;  // last newer heartbeat, however it came
+    double last_heartbeat =
+        0;  // last one that the worker sent by itself: direct answers renew no lease
+    double heard_since = 0;  // when a silence last ended
     double commands_failing_since = 0;
-    double forwarded_at = kLongAgo;       // last newer heartbeat that came through another controller
+    double forwarded_at = kLongAgo;  // last newer heartbeat that came through another controller
     uint64_t epoch_when_unreachable = 0;  // when direct commands began to fail
     uint64_t agent_epoch = 0, sequence = 0, highest_token_seen = 0;
     bool known = false;  // reported to us
-    // As reported, or else by the record, which gets it when the budget allows. Who takes the shard before that learns it
-    // from the worker's next heartbeat.
+    // As reported, or else by the record, which gets it when the budget allows. Who takes the shard
+    // before that learns it from the worker's next heartbeat.
     std::string address;
     bool address_queued = false;
     std::vector<ReportedTask> reported;
@@ -93,7 +97,8 @@
     store::Resources used;
   };
 
-  /// A job that waits for room, and its placement class: the same text for all that fit or don't fit alike.
+  /// A job that waits for room, and its placement class: the same text for all that fit or don't
+  /// fit alike.
   struct Preemptor {
     ShardJob* job = nullptr;
     std::string placement_class;
@@ -125,7 +130,8 @@
   WriteCause cause_of_end(const ShardJob& j) const;
   void settle_by_writing(ShardJob& j, uint64_t mod_revision);
   void machine_gone(const std::string& id);
-  void write_machine(const std::string& id, WriteCause cause, std::function<bool(store::MachineRecord&)> change);
+  void write_machine(const std::string& id, WriteCause cause,
+                     std::function<bool(store::MachineRecord&)> change);
 
   // workers
   HeartbeatResponse respond(const Heartbeat& heartbeat, bool forwarded);
@@ -137,8 +143,10 @@
   void log_inconsistencies(const Heartbeat& heartbeat);
   std::vector<WorkerCommand> reconcile(Machine& m, bool& has_start);
   void update_task(ShardJob& j, const ReportedTask& t, std::vector<WorkerCommand>& commands);
-  void stop_unexpected_task(const Machine& m, const ReportedTask& t, std::vector<WorkerCommand>& commands) const;
-  bool start_missing_tasks(Machine& m, const std::set<TaskKey>& present, std::vector<WorkerCommand>& commands);
+  void stop_unexpected_task(const Machine& m, const ReportedTask& t,
+                            std::vector<WorkerCommand>& commands) const;
+  bool start_missing_tasks(Machine& m, const std::set<TaskKey>& present,
+                           std::vector<WorkerCommand>& commands);
   void log_first_run(ShardJob& j);
   void task_ended(Machine& m, ShardJob& j, const ReportedTask& t);
   void task_failed(Machine& m, ShardJob& j);
@@ -147,7 +155,8 @@
   void judge(Machine& m);
   void dispatch_commands(Machine& m);
   void send_commands(Machine& m, std::vector<WorkerCommand> commands, bool has_start);
-  void commands_answered(const std::string& id, uint64_t used_token, bool has_start, const CallDone& d);
+  void commands_answered(const std::string& id, uint64_t used_token, bool has_start,
+                         const CallDone& d);
   bool has_command_slot(const Machine& m) const;
   void dispatch_due_commands();
   void check_health(Machine& m);
@@ -168,14 +177,17 @@
   ZoneCounts zones_of(const store::JobRecord& r) const;
   bool within_quota(const std::string& team, const store::Resources& more) const;
   uint32_t placement_room(const store::JobRecord& r) const;
-  size_t most_new_machines() const { return static_cast<size_t>(std::max(1, context_.settings.txn_ops * 4 - 2)); }
+  size_t most_new_machines() const {
+    return static_cast<size_t>(std::max(1, context_.settings.txn_ops * 4 - 2));
+  }
   uint32_t next_pending(const store::JobRecord& r, uint32_t from) const;
   std::string placement_class_of(ShardJob& j) const;
   size_t longest_machine_id() const;
   void schedule(int shard);
   void serve_in_turn(const std::vector<ShardJob*>& jobs, std::vector<Slot>& open_slots);
   void set_expected_room_aside(int shard, std::vector<Slot>& open_slots) const;
-  void schedule_job(ShardJob& j, std::vector<Slot>& open_slots, std::set<std::string>& without_room);
+  void schedule_job(ShardJob& j, std::vector<Slot>& open_slots,
+                    std::set<std::string>& without_room);
   double team_load(const std::string& team);
   bool place_gang(const std::string& id, ShardJob& j, std::vector<Slot>& slots);
   bool all_gathering(const ShardJob& j);
@@ -190,10 +202,12 @@
   std::vector<ShardJob*> nominate(int shard);
   std::vector<Preemptor> preemptors(int shard);
   bool has_preemptor_reservation(const std::string& job_id) const;
-  std::optional<size_t> try_preemptors(const ShardJob& victim, const std::vector<Preemptor>& preemptors,
+  std::optional<size_t> try_preemptors(const ShardJob& victim,
+                                       const std::vector<Preemptor>& preemptors,
                                        std::vector<Slot>& picture, PlannedRoom& used);
   void commit_requeue(ShardJob& victim, const ShardJob& preemptor, const PlannedRoom& used);
-  bool fits_whole_beside(const ShardJob& preemptor, ZoneCounts zones, std::vector<Slot>& picture, PlannedRoom* used) const;
+  bool fits_whole_beside(const ShardJob& preemptor, ZoneCounts zones, std::vector<Slot>& picture,
+                         PlannedRoom* used) const;
   bool fits_whole(const ShardJob& preemptor, std::vector<Slot>& picture, PlannedRoom* used) const;
 
   Context& context_;
@@ -205,21 +219,23 @@
   std::set<int> shards_;
   std::unordered_map<std::string, ShardJob> jobs_;
   std::map<std::string, Machine> machines_;
-  // What our jobs have where, on machines of other shards and of nobody, too: looking through all jobs for
-  // each machine that came or went took seconds when dozens went at once.
+  // What our jobs have where, on machines of other shards and of nobody, too: looking through all
+  // jobs for each machine that came or went took seconds when dozens went at once.
   std::unordered_map<std::string, TasksOnMachine> placed_on_;
-  std::set<std::string> pending_;               // jobs with tasks to be placed
-  std::set<std::string> jobs_that_lost_tasks_;  // jobs that lost tasks with a machine, not written since
+  std::set<std::string> pending_;  // jobs with tasks to be placed
+  std::set<std::string>
+      jobs_that_lost_tasks_;  // jobs that lost tasks with a machine, not written since
   struct Silence {
     int machines = 0, silent = 0;
   };
   std::map<std::string, Silence> silence_;  // by zone, as of the last look
   std::map<std::string, store::Resources> team_used_;
   std::unordered_map<std::string, double> last_heard_at_;
-  std::unordered_map<std::string, double> forwarding_since_;   // by machine
-  std::set<std::string> dispatch_queue_;                       // machines to command at the end of the batch
-  std::string last_commanded_;                                 // of them; the next ones follow it by id
-  std::set<std::pair<double, std::string>> delayed_dispatch_;  // machines to command, by the time of that
+  std::unordered_map<std::string, double> forwarding_since_;  // by machine
+  std::set<std::string> dispatch_queue_;  // machines to command at the end of the batch
+  std::string last_commanded_;            // of them; the next ones follow it by id
+  std::set<std::pair<double, std::string>>
+      delayed_dispatch_;  // machines to command, by the time of that
   size_t commands_in_flight_ = 0;
   size_t silent_commands_in_flight_ = 0;  // of them, to machines that did not answer the last one
   size_t forwards_in_flight_ = 0;
--- a/src/coordination/state/state_store_client.cpp
+++ b/src/coordination/state/state_store_client.cpp
@@ -15,7 +15,8 @@
   bool full = false;
 
   bool takes(const QueuedWrite& item, size_t size) const {
-    constexpr size_t kTxnBytes = size_t{56} * 1024;  // the service takes 64 KiB; the rest is for the frame
+    constexpr size_t kTxnBytes =
+        size_t{56} * 1024;  // the service takes 64 KiB; the rest is for the frame
     if (items.empty()) return true;
     std::set<std::string> more = preconditions;
     more.insert(item.request.key);
@@ -40,8 +41,9 @@
   unavailable_ = false;
 }
 
-// With the service slow, single requests go unanswered among others that succeed: each of them put the node
-// into the disconnected state, which refused all that waited. Only what was sent after the last success says anything.
+// With the service slow, single requests go unanswered among others that succeed: each of them put
+// the node into the disconnected state, which refused all that waited. Only what was sent after the
+// last success says anything.
 void StateStoreClient::failed(double sent_at, int status) {
   constexpr int kTooMany = 429;  // it is there, and asks for a pause
   if (sent_at <= last_contact_ || status == kTooMany) return;
@@ -57,16 +59,20 @@
   barrier_budget_.set_rate(rps * Tunables::kBarrierShare);
   txn_budget_.set_rate(rps * Tunables::kTxnShare);
   const auto& s = context_.settings;
-  write_rate_ = (rate_fell_ ? std::min(s.next_write_rps, s.state_write_rps) : s.state_write_rps) * Tunables::kBudget * share;
+  write_rate_ = (rate_fell_ ? std::min(s.next_write_rps, s.state_write_rps) : s.state_write_rps) *
+                Tunables::kBudget * share;
   write_budget_.set_rate(write_rate_);
 }
 
-double StateStoreClient::backlog() const { return static_cast<double>(queue_.pressing(context_.now)); }
+double StateStoreClient::backlog() const {
+  return static_cast<double>(queue_.pressing(context_.now));
+}
 
 // While others wait too long, acceptances have their part of the puts.
 double StateStoreClient::accept_delay(store::Rank rank) const {
   const size_t requests = queue_.waiting_before(WritePriority::request, rank);
-  const double rate = write_rate_ * (queue_.contended(context_.now) ? Tunables::kContendedShare[0] : 1);
+  const double rate =
+      write_rate_ * (queue_.contended(context_.now) ? Tunables::kContendedShare[0] : 1);
   return static_cast<double>(requests) / std::max(0.1, rate);
 }
 
@@ -93,7 +99,8 @@
 void StateStoreClient::tick() {
   if (!renewing_ && context_.now >= next_renew_) renew();
   if (!synced_ && !listing_keys_ && context_.now >= next_list_attempt_) start_list();
-  if (synced_ && !watching_ && context_.now >= next_watch_ && watch_budget_.ready(context_.now)) follow();
+  if (synced_ && !watching_ && context_.now >= next_watch_ && watch_budget_.ready(context_.now))
+    follow();
   for (size_t i = 0; i < lookups_due_.size();) {
     if (context_.now < lookups_due_[i].first) {
       ++i;
@@ -112,8 +119,8 @@
 double StateStoreClient::writes_due() {
   if (!lease_valid() || txns_in_flight_ >= Tunables::kTxnsInFlight) return kNoDueTime;
   return queue_.next_due(context_.now, [this](double floor) {
-    return std::max(
-        {hold_writes_until_, txn_budget_.above_at(floor, context_.now), write_budget_.above_at(floor, context_.now)});
+    return std::max({hold_writes_until_, txn_budget_.above_at(floor, context_.now),
+                     write_budget_.above_at(floor, context_.now)});
   });
 }
 
@@ -122,7 +129,8 @@
   if (!renewing_) due = std::min(due, next_renew_);
   if (lease_valid()) due = std::min(due, lease_until_);
   if (!synced_ && !listing_keys_) due = std::min(due, next_list_attempt_);
-  if (synced_ && !watching_) due = std::min(due, std::max(next_watch_, watch_budget_.above_at(0, context_.now)));
+  if (synced_ && !watching_)
+    due = std::min(due, std::max(next_watch_, watch_budget_.above_at(0, context_.now)));
   for (const auto& [at, item] : lookups_due_) due = std::min(due, at);
   if (!waiting_for_barrier_.empty() && !barrier_read_in_flight_)
     due = std::min(due, barrier_budget_.above_at(0, context_.now));
@@ -146,8 +154,9 @@
       }
       succeeded(sent);
       lease_ = reply->lease;
-      // Counted from the sending, less the drift between two machines' clocks. The next one, too: with little processor
-      // time an answer is read late, and a lease renewed so long after that would have lapsed.
+      // Counted from the sending, less the drift between two machines' clocks. The next one, too:
+      // with little processor time an answer is read late, and a lease renewed so long after that
+      // would have lapsed.
       lease_until_ = sent + context_.tunables.state_lease_s * 0.998;
       next_renew_ = sent + context_.tunables.renew_every_s;
     });
@@ -189,8 +198,8 @@
   list_page();
 }
 
-// A read that failed goes on where it stopped: from the beginning each time, hundreds of pages would never be read
-// from a state service that leaves one request in a hundred unanswered.
+// A read that failed goes on where it stopped: from the beginning each time, hundreds of pages
+// would never be read from a state service that leaves one request in a hundred unanswered.
 void StateStoreClient::pause_list(double sent_at, int status) {
   failed(sent_at, status);
   listing_keys_ = false;
@@ -199,46 +208,53 @@
 
 void StateStoreClient::list_page() {
   const double sent = context_.now;
-  context_.call(ListKeys{"", list_.after}, context_.settings.heartbeat_interval_s, [this, sent](CallDone&& d) {
-    const auto* page = std::get_if<ListKeysReply>(&d.reply);
-    if (d.status != 200 || !page) return pause_list(sent, d.status);
-    succeeded(sent);
-    on_page_listed(*page);
-  });
+  context_.call(ListKeys{"", list_.after}, context_.settings.heartbeat_interval_s,
+                [this, sent](CallDone&& d) {
+                  const auto* page = std::get_if<ListKeysReply>(&d.reply);
+                  if (d.status != 200 || !page) return pause_list(sent, d.status);
+                  succeeded(sent);
+                  on_page_listed(*page);
+                });
 }
 
 void StateStoreClient::on_page_listed(const ListKeysReply& page) {
-  if (list_.first_revision == 0) list_.followed = list_.first_revision = std::max<uint64_t>(1, page.revision);
+  if (list_.first_revision == 0)
+    list_.followed = list_.first_revision = std::max<uint64_t>(1, page.revision);
   for (const auto& e : page.entries) {
     list_.seen.insert(e.key);
-    if (!state_cache_.apply(e)) context_.log_rate_limited("record", "record " + e.key + " can't be read");
+    if (!state_cache_.apply(e))
+      context_.log_rate_limited("record", "record " + e.key + " can't be read");
   }
   if (!page.more || page.entries.empty()) return finish_list();
   list_.after = page.entries.back().key;
   // Half of what is kept, if each transaction holds as many changes as it may.
-  const uint64_t most_behind = kKeptChanges / 2 / static_cast<uint64_t>(std::max(1, context_.settings.txn_ops));
+  const uint64_t most_behind =
+      kKeptChanges / 2 / static_cast<uint64_t>(std::max(1, context_.settings.txn_ops));
   page.revision > list_.followed + most_behind ? watch_between_pages() : list_page();
 }
 
-// With more changes during the read than the service keeps, the first watch after it was told to read again, and so
-// was the one after that: the controller never had a state cache. So changes are followed between pages, too.
+// With more changes during the read than the service keeps, the first watch after it was told to
+// read again, and so was the one after that: the controller never had a state cache. So changes are
+// followed between pages, too.
 void StateStoreClient::watch_between_pages() {
   const double sent = context_.now;
-  context_.call(Watch{list_.followed, 0}, context_.settings.heartbeat_interval_s, [this, sent](CallDone&& d) {
-    const auto* reply = std::get_if<WatchReply>(&d.reply);
-    if (d.status == 410) {  // the pause was too long
-      succeeded(sent);
-      list_ = {};
-      listing_keys_ = false;
-      return;
-    }
-    if (d.status != 200 || !reply) return pause_list(sent, d.status);
-    succeeded(sent);
-    for (const auto& e : reply->events)
-      if (!state_cache_.apply(e)) context_.log_rate_limited("record", "record " + e.key + " can't be read");
-    list_.followed = std::max(list_.followed, reply->revision);
-    list_page();
-  });
+  context_.call(Watch{list_.followed, 0}, context_.settings.heartbeat_interval_s,
+                [this, sent](CallDone&& d) {
+                  const auto* reply = std::get_if<WatchReply>(&d.reply);
+                  if (d.status == 410) {  // the pause was too long
+                    succeeded(sent);
+                    list_ = {};
+                    listing_keys_ = false;
+                    return;
+                  }
+                  if (d.status != 200 || !reply) return pause_list(sent, d.status);
+                  succeeded(sent);
+                  for (const auto& e : reply->events)
+                    if (!state_cache_.apply(e))
+                      context_.log_rate_limited("record", "record " + e.key + " can't be read");
+                  list_.followed = std::max(list_.followed, reply->revision);
+                  list_page();
+                });
 }
 
 void StateStoreClient::finish_list() {
@@ -247,7 +263,8 @@
   for (int p = 0; p < context_.settings.nodes; ++p) leased.push_back(store::shard_key(p));
   const uint64_t first = list_.first_revision;
   for (const auto& key : leased)
-    if (!list_.seen.count(key) && state_cache_.mod_revision_of(key) != 0 && state_cache_.mod_revision_of(key) <= first)
+    if (!list_.seen.count(key) && state_cache_.mod_revision_of(key) != 0 &&
+        state_cache_.mod_revision_of(key) <= first)
       state_cache_.apply(Change{key, std::nullopt, first});
   state_cache_.reached(list_.followed);
   listing_keys_ = false;
@@ -263,7 +280,8 @@
   watch_budget_.take(1);
   const double sent = context_.now;
   context_.call(Watch{state_cache_.revision(), context_.tunables.watch_hold_s},
-                context_.tunables.watch_hold_s + context_.settings.heartbeat_interval_s, [this, sent](CallDone&& d) {
+                context_.tunables.watch_hold_s + context_.settings.heartbeat_interval_s,
+                [this, sent](CallDone&& d) {
                   watching_ = false;
                   auto* reply = std::get_if<WatchReply>(&d.reply);
                   if (d.status == 410) {
@@ -272,12 +290,14 @@
                   }
                   if (d.status != 200 || !reply) {
                     failed(sent, d.status);
-                    next_watch_ = context_.now + context_.jitter(context_.tunables.renew_every_s / 4);
+                    next_watch_ =
+                        context_.now + context_.jitter(context_.tunables.renew_every_s / 4);
                     return;
                   }
                   succeeded(sent);
                   for (const auto& e : reply->events)
-                    if (!state_cache_.apply(e)) context_.log_rate_limited("record", "record " + e.key + " can't be read");
+                    if (!state_cache_.apply(e))
+                      context_.log_rate_limited("record", "record " + e.key + " can't be read");
                   state_cache_.reached(reply->revision);
                   current_at_ = std::max(current_at_, sent);
                   model_advanced();
@@ -297,25 +317,31 @@
 }
 
 void StateStoreClient::send_barrier_read() {
-  if (waiting_for_barrier_.empty() || barrier_read_in_flight_ || !barrier_budget_.ready(context_.now)) return;
+  if (waiting_for_barrier_.empty() || barrier_read_in_flight_ ||
+      !barrier_budget_.ready(context_.now))
+    return;
   barrier_budget_.take(1);
   barrier_read_in_flight_ = true;
   const double sent = context_.now;
-  auto waiting = std::make_shared<std::vector<std::function<void(bool)>>>(std::move(waiting_for_barrier_));
+  auto waiting =
+      std::make_shared<std::vector<std::function<void(bool)>>>(std::move(waiting_for_barrier_));
   waiting_for_barrier_.clear();
   // A key that nobody writes: its 404 carries the service's revision.
-  context_.call(ReadKey{"none"}, context_.tunables.poll_wait_s * 0.6, [this, sent, waiting](CallDone&& d) {
-    barrier_read_in_flight_ = false;
-    const auto* reply = std::get_if<KeyReply>(&d.reply);
-    if (d.status != 404 || !reply) {
-      failed(sent, d.status);
-      for (auto& w : *waiting) w(false);
-      return;
-    }
-    succeeded(sent);
-    barriers_.push_back({reply->revision, sent, context_.now + context_.tunables.poll_wait_s * 0.6, std::move(*waiting)});
-    settle_barriers();
-  });
+  context_.call(ReadKey{"none"}, context_.tunables.poll_wait_s * 0.6,
+                [this, sent, waiting](CallDone&& d) {
+                  barrier_read_in_flight_ = false;
+                  const auto* reply = std::get_if<KeyReply>(&d.reply);
+                  if (d.status != 404 || !reply) {
+                    failed(sent, d.status);
+                    for (auto& w : *waiting) w(false);
+                    return;
+                  }
+                  succeeded(sent);
+                  barriers_.push_back({reply->revision, sent,
+                                       context_.now + context_.tunables.poll_wait_s * 0.6,
+                                       std::move(*waiting)});
+                  settle_barriers();
+                });
 }
 
 void StateStoreClient::settle_barriers() {
@@ -325,8 +351,9 @@
       ++i;
       continue;
     }
-    // All that was durable when the read was sent is known. An open watch tells that only once it is answered, and in
-    // an outage it is not: workers were answered for some seconds less than they might have been.
+    // All that was durable when the read was sent is known. An open watch tells that only once it
+    // is answered, and in an outage it is not: workers were answered for some seconds less than
+    // they might have been.
     if (ok) current_at_ = std::max(current_at_, barriers_[i].sent_at);
     auto waiting = std::move(barriers_[i].waiting);
     barriers_.erase(barriers_.begin() + static_cast<long>(i));
@@ -365,7 +392,8 @@
     const auto is_busy = [&](const std::string& key) {
       return keys_in_flight_.count(key) != 0 || batch.keys.count(key) != 0;
     };
-    for (const auto& item : queue_.candidates(context_.now, write_level(), batch.ops - batch.items.size(), is_busy)) {
+    for (const auto& item :
+         queue_.candidates(context_.now, write_level(), batch.ops - batch.items.size(), is_busy)) {
       if (batch.keys.count(item->request.key) || (item->alone && !batch.items.empty())) continue;
       queue_.take(item);
       if (!prepare(*item)) {
@@ -373,7 +401,8 @@
         again = true;  // its slot is for another, and the callback may have queued more
         continue;
       }
-      const size_t size = kFrameOfWrite + (item->prepared.value ? item->prepared.value->dump().size() : 0);
+      const size_t size =
+          kFrameOfWrite + (item->prepared.value ? item->prepared.value->dump().size() : 0);
       if (!batch.takes(*item, size)) {
         metrics_.cut_short();
         queue_.put_first(item);
@@ -391,13 +420,15 @@
   if (!lease_valid()) return StallReason::no_lease;
   if (context_.now < hold_writes_until_) return StallReason::pause;
   if (txns_in_flight_ >= Tunables::kTxnsInFlight) return StallReason::in_flight;
-  const double writes = write_budget_.level(context_.now), transactions = txn_budget_.level(context_.now);
+  const double writes = write_budget_.level(context_.now),
+               transactions = txn_budget_.level(context_.now);
   if (std::min(writes, transactions) > 0) return StallReason::record_in_flight;
   return writes <= transactions ? StallReason::write_rate : StallReason::transaction_rate;
 }
 
 void StateStoreClient::flush() {
-  while (txns_in_flight_ < Tunables::kTxnsInFlight && context_.now >= hold_writes_until_ && lease_valid()) {
+  while (txns_in_flight_ < Tunables::kTxnsInFlight && context_.now >= hold_writes_until_ &&
+         lease_valid()) {
     Batch batch;
     batch.ops = static_cast<size_t>(context_.settings.txn_ops);
     fill(batch);
@@ -416,16 +447,19 @@
     txn.writes.push_back({item->request.key, item->prepared.value, item->prepared.lease});
     keys_in_flight_.insert(item->request.key);
   }
-  for (const auto& [key, mod_revision] : preconditions) txn.preconditions.push_back({key, mod_revision});
+  for (const auto& [key, mod_revision] : preconditions)
+    txn.preconditions.push_back({key, mod_revision});
   txn_budget_.take(1);
   write_budget_.take(static_cast<double>(items.size()));
   need();  // brings the count of puts up to now
-  puts_lately_ += static_cast<double>(items.size()) * std::log(2.0) / context_.tunables.demand_memory_s;
+  puts_lately_ +=
+      static_cast<double>(items.size()) * std::log(2.0) / context_.tunables.demand_memory_s;
   ++txns_in_flight_;
   const double sent = context_.now;
-  context_.call(std::move(txn), context_.tunables.poll_wait_s, [this, sent, items = std::move(items)](CallDone&& d) mutable {
-    finished(std::move(items), sent, std::move(d));
-  });
+  context_.call(std::move(txn), context_.tunables.poll_wait_s,
+                [this, sent, items = std::move(items)](CallDone&& d) mutable {
+                  finished(std::move(items), sent, std::move(d));
+                });
 }
 
 void StateStoreClient::finished(std::vector<ItemPtr> items, double sent_at, CallDone&& d) {
@@ -446,8 +480,9 @@
     const std::set<std::string> bad(reply->failed.begin(), reply->failed.end());
     for (auto it = items.rbegin(); it != items.rend(); ++it) {
       const auto& p = (*it)->prepared;
-      const bool hit = bad.count((*it)->request.key) || std::any_of(p.preconditions.begin(), p.preconditions.end(),
-                                                                    [&](const auto& c) { return bad.count(c.key); });
+      const bool hit = bad.count((*it)->request.key) ||
+                       std::any_of(p.preconditions.begin(), p.preconditions.end(),
+                                   [&](const auto& c) { return bad.count(c.key); });
       if (hit) {
         look_up(*it);
       } else {
@@ -467,18 +502,23 @@
     if (d.status == 503) failed(sent_at, d.status);
     context_.counters[d.status == 429 ? "state_429" : "state_503"]++;
     if (d.status == 429 && context_.settings.next_write_rps > 0) rate_fell_ = true;
-    hold_writes_until_ = context_.now + context_.jitter(d.status == 429 ? context_.settings.heartbeat_interval_s / 20
-                                                                        : context_.settings.heartbeat_interval_s / 5);
+    hold_writes_until_ =
+        context_.now + context_.jitter(d.status == 429
+                                           ? context_.settings.heartbeat_interval_s / 20
+                                           : context_.settings.heartbeat_interval_s / 5);
     for (auto it = items.rbegin(); it != items.rend(); ++it) {
       keys_in_flight_.erase((*it)->request.key);
       queue_.put_back(*it);
     }
     return;
   }
-  context_.log_rate_limited("txn", "state service refused a transaction of " + std::to_string(items.size()) +
-                                       " writes, the first of " + items.front()->request.key + ", with status " +
+  context_.log_rate_limited("txn", "state service refused a transaction of " +
+                                       std::to_string(items.size()) + " writes, the first of " +
+                                       items.front()->request.key + ", with status " +
                                        std::to_string(d.status));
-  if (items.size() == 1 && items.front()->prepared.value && oversized(*items.front()->prepared.value)) limit_fell_ = true;
+  if (items.size() == 1 && items.front()->prepared.value &&
+      oversized(*items.front()->prepared.value))
+    limit_fell_ = true;
   for (const auto& item : items) {
     keys_in_flight_.erase(item->request.key);
     // One bad write must not take the others of its transaction with it.
@@ -493,30 +533,33 @@
 
 void StateStoreClient::look_up(const ItemPtr& item) {
   const double sent = context_.now;
-  context_.call(ReadKey{item->request.key}, context_.tunables.poll_wait_s, [this, sent, item](CallDone&& d) {
-    const auto* reply = std::get_if<KeyReply>(&d.reply);
-    if ((d.status != 200 && d.status != 404) || !reply) {
-      failed(sent, d.status);
-      // The key stays blocked until its value is known; a pause, then again.
-      lookups_due_.emplace_back(context_.now + context_.jitter(context_.tunables.renew_every_s / 3), item);
-      return;
-    }
-    succeeded(sent);
-    keys_in_flight_.erase(item->request.key);
-    uint64_t mod_revision = 0;
-    std::string writer;
-    if (reply->entry) {
-      mod_revision = reply->entry->mod_revision;
-      if (reply->entry->value->is_object()) writer = reply->entry->value->value("w", "");
-      state_cache_.apply(*reply->entry);
-    }
-    if (!item->writer.empty() && writer == item->writer) {
-      item->request.done(WriteOutcome::applied, mod_revision);
-    } else {
-      const bool may_follow = mod_revision == item->prepared.expected;
-      item->request.done(may_follow ? WriteOutcome::unsettled : WriteOutcome::conflict, mod_revision);
-    }
-  });
+  context_.call(
+      ReadKey{item->request.key}, context_.tunables.poll_wait_s, [this, sent, item](CallDone&& d) {
+        const auto* reply = std::get_if<KeyReply>(&d.reply);
+        if ((d.status != 200 && d.status != 404) || !reply) {
+          failed(sent, d.status);
+          // The key stays blocked until its value is known; a pause, then again.
+          lookups_due_.emplace_back(
+              context_.now + context_.jitter(context_.tunables.renew_every_s / 3), item);
+          return;
+        }
+        succeeded(sent);
+        keys_in_flight_.erase(item->request.key);
+        uint64_t mod_revision = 0;
+        std::string writer;
+        if (reply->entry) {
+          mod_revision = reply->entry->mod_revision;
+          if (reply->entry->value->is_object()) writer = reply->entry->value->value("w", "");
+          state_cache_.apply(*reply->entry);
+        }
+        if (!item->writer.empty() && writer == item->writer) {
+          item->request.done(WriteOutcome::applied, mod_revision);
+        } else {
+          const bool may_follow = mod_revision == item->prepared.expected;
+          item->request.done(may_follow ? WriteOutcome::unsettled : WriteOutcome::conflict,
+                             mod_revision);
+        }
+      });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/state_store_client.h
+++ b/src/coordination/state/state_store_client.h
@@ -16,7 +16,8 @@
   StateStoreClient(Context& context, store::StateCache& state_cache);
 
   void tick();
-  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as the budget allows.
+  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as the
+  /// budget allows.
   double next_due();
   void write(WriteRequest request);
   /// Runs `then(true)` once the state cache is known to be at least as new as this call.
@@ -29,7 +30,8 @@
   bool disconnected() const { return !synced_ || unavailable_ || !lease_valid(); }
   uint64_t lease() const { return lease_; }
   double last_contact() const { return last_contact_; }
-  /// The state cache holds all that was written before this time. Other requests may succeed while the changes don't come.
+  /// The state cache holds all that was written before this time. Other requests may succeed while
+  /// the changes don't come.
   double current_at() const { return current_at_; }
   bool ever_synced() const { return current_at_ > kLongAgo; }
   /// Writes that wait for nothing but the budget.
@@ -69,7 +71,9 @@
   void fill(Batch& batch);
   bool prepare(QueuedWrite& item);
   StallReason stall_reason();
-  double write_level() { return std::min(txn_budget_.level(context_.now), write_budget_.level(context_.now)); }
+  double write_level() {
+    return std::min(txn_budget_.level(context_.now), write_budget_.level(context_.now));
+  }
   double writes_due();
   void send(std::vector<ItemPtr> items);
   void finished(std::vector<ItemPtr> items, double sent_at, CallDone&& done);
@@ -95,7 +99,8 @@
   TokenBucket watch_budget_, barrier_budget_, txn_budget_, write_budget_;
   double write_rate_ = 1;
   bool limit_fell_ = false;  // an oversized value was refused
-  bool rate_fell_ = false;   // a write was refused for the rate: the lower one, if one is announced, may be in force
+  bool rate_fell_ = false;  // a write was refused for the rate: the lower one, if one is announced,
+                            // may be in force
 
   struct ReadBarrier {
     uint64_t revision = 0;
--- a/src/coordination/state/writes/write_cause.h
+++ b/src/coordination/state/writes/write_cause.h
@@ -27,11 +27,23 @@
 
 /// As in `/stats`.
 constexpr const char* name_of(WriteCause cause) {
-  constexpr const char* kNames[kWriteCauses] = {
-      "acceptance",         "cancellation",  "holder",          "placement",         "stop",
-      "gang_phase",         "job_done",      "task_end",        "running_mark",      "machine_rented",
-      "machine_address",    "machine_offer", "machine_settled", "machine_condemned", "machine_gone",
-      "machine_given_back", "other"};
+  constexpr const char* kNames[kWriteCauses] = {"acceptance",
+                                                "cancellation",
+                                                "holder",
+                                                "placement",
+                                                "stop",
+                                                "gang_phase",
+                                                "job_done",
+                                                "task_end",
+                                                "running_mark",
+                                                "machine_rented",
+                                                "machine_address",
+                                                "machine_offer",
+                                                "machine_settled",
+                                                "machine_condemned",
+                                                "machine_gone",
+                                                "machine_given_back",
+                                                "other"};
   return kNames[static_cast<size_t>(cause)];
 }
 
--- a/src/coordination/state/writes/write_metrics.cpp
+++ b/src/coordination/state/writes/write_metrics.cpp
@@ -14,16 +14,19 @@
 
 namespace {
 
-constexpr const char* kStallReasonNames[] = {"none",  "write_rate", "transaction_rate", "in_flight", "record_in_flight",
-                                             "pause", "no_lease"};
+constexpr const char* kStallReasonNames[] = {
+    "none", "write_rate", "transaction_rate", "in_flight", "record_in_flight", "pause", "no_lease"};
 
 double milliseconds_exact(double seconds) { return std::round(seconds * 1000) / 1000; }
 
 }  // namespace
 
 struct WriteMetrics::Books {
-  using Quantile = accumulators::accumulator_set<double, accumulators::stats<accumulators::tag::p_square_quantile>>;
-  using Maximum = accumulators::accumulator_set<double, accumulators::stats<accumulators::tag::max>>;
+  using Quantile =
+      accumulators::accumulator_set<double,
+                                    accumulators::stats<accumulators::tag::p_square_quantile>>;
+  using Maximum =
+      accumulators::accumulator_set<double, accumulators::stats<accumulators::tag::max>>;
   struct Entry {
     uint64_t puts = 0, changes = 0;
     Quantile median{accumulators::quantile_probability = 0.5};
@@ -57,7 +60,8 @@
     const auto index = static_cast<size_t>(stall_reason_);
     const double seconds = std::max(0.0, now - stalled_since_);
     books_->stalled_s[index] += seconds;
-    const bool budget_left = stall_reason_ != StallReason::none && stall_reason_ != StallReason::write_rate;
+    const bool budget_left =
+        stall_reason_ != StallReason::none && stall_reason_ != StallReason::write_rate;
     if (budget_left) books_->idle_puts[index] += seconds * puts_per_second;
   }
   stall_reason_ = by;
@@ -82,7 +86,9 @@
     if (books_->stalled_s[i] > 0)
       stalled[kStallReasonNames[i]] = {{"seconds", milliseconds_exact(books_->stalled_s[i])},
                                        {"idle_puts", std::round(books_->idle_puts[i])}};
-  return {{"causes", std::move(causes)}, {"hindered", std::move(stalled)}, {"cut_short", transactions_cut_short_}};
+  return {{"causes", std::move(causes)},
+          {"hindered", std::move(stalled)},
+          {"cut_short", transactions_cut_short_}};
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/writes/write_metrics.h
+++ b/src/coordination/state/writes/write_metrics.h
@@ -1,5 +1,5 @@
-// Counts each put by its cause, how long it waited and what it carried, and what held up writes that waited: a budget
-// that is spent, or one that lies idle.
+// Counts each put by its cause, how long it waited and what it carried, and what held up writes
+// that waited: a budget that is spent, or one that lies idle.
 #pragma once
 #include <memory>
 
@@ -33,7 +33,8 @@
   /// An item did not fit beside others into a transaction's conditions or bytes.
   void cut_short() { ++transactions_cut_short_; }
 
-  /// Puts, changes and waits in seconds by cause; seconds of waiting and puts of the share that lay idle by hindrance.
+  /// Puts, changes and waits in seconds by cause; seconds of waiting and puts of the share that lay
+  /// idle by hindrance.
   store::Json to_json() const;
 
  private:
--- a/src/coordination/state/writes/write_queue.cpp
+++ b/src/coordination/state/writes/write_queue.cpp
@@ -6,8 +6,8 @@
 namespace rushtrestle::coordination {
 
 WriteQueue::WriteQueue(const Tunables& tunables, const store::OperatorSettings& operators)
-    : longest_wait_s_{tunables.user_wait_s / 4, tunables.user_wait_s / 4, tunables.user_wait_s / 4, tunables.coalesce_s,
-                      tunables.background_s},
+    : longest_wait_s_{tunables.user_wait_s / 4, tunables.user_wait_s / 4, tunables.user_wait_s / 4,
+                      tunables.coalesce_s, tunables.background_s},
       team_weights_(operators.team_shares.begin(), operators.team_shares.end()) {}
 
 WriteQueue::Place WriteQueue::place_of(const QueuedWrite& write) {
@@ -19,8 +19,8 @@
   return it == team_weights_.end() ? 1 : it->second;
 }
 
-// Each team's writes get turns one after the other, from the present turn on: a team with a thousand of them has its next in
-// the same turn as a team that comes with its first.
+// Each team's writes get turns one after the other, from the present turn on: a team with a
+// thousand of them has its next in the same turn as a team that comes with its first.
 void WriteQueue::add(const QueuedWritePtr& write, double now) {
   const size_t p = index(write->priority());
   write->queued_at = now;
@@ -63,8 +63,9 @@
   return static_cast<size_t>(std::floor(shard * (before + 1)) - std::floor(shard * before));
 }
 
-std::vector<QueuedWritePtr> WriteQueue::candidates(double now, double level, size_t slots,
-                                                   const std::function<bool(const std::string& key)>& is_busy) const {
+std::vector<QueuedWritePtr> WriteQueue::candidates(
+    double now, double level, size_t slots,
+    const std::function<bool(const std::string& key)>& is_busy) const {
   std::vector<QueuedWritePtr> out;
   if (level <= Tunables::kOverdueFloor[0] || empty()) return out;
   std::set<uint64_t> chosen;
@@ -76,7 +77,8 @@
   for (const auto& write : first_) choose(write);
   if (contended(now)) {
     for (size_t p = 0; p < kWritePriorities; ++p) {
-      // Display and what is gathered go along with others, and by themselves only from a budget that is left.
+      // Display and what is gathered go along with others, and by themselves only from a budget
+      // that is left.
       if (level <= Tunables::kOverdueFloor[p] && out.empty()) continue;
       size_t left = quota(p, slots);
       const size_t by_age = p < index(WritePriority::coalesced) ? left / 2 : left;
@@ -122,7 +124,8 @@
 bool WriteQueue::anything_pressing(double now) const {
   for (size_t p = 0; p < kWritePriorities; ++p) {
     if (lines_[p].empty()) continue;
-    if (p < index(WritePriority::coalesced) || overdue(*by_age_[p].begin()->second, now)) return true;
+    if (p < index(WritePriority::coalesced) || overdue(*by_age_[p].begin()->second, now))
+      return true;
   }
   return false;
 }
--- a/src/coordination/state/writes/write_queue.h
+++ b/src/coordination/state/writes/write_queue.h
@@ -1,8 +1,9 @@
 // What waits to be written, in the order in which it should leave.
 //
-// Invariant: a write leaves by priority, then by the rank of the job that waits for it, then by turns of the teams. Each
-// priority has a longest wait; while others than users wait longer than theirs, each priority has its part of the puts, half
-// of it for the oldest. So the first things first while the budget suffices, and nothing waits for ever when it doesn't.
+// Invariant: a write leaves by priority, then by the rank of the job that waits for it, then by
+// turns of the teams. Each priority has a longest wait; while others than users wait longer than
+// theirs, each priority has its part of the puts, half of it for the oldest. So the first things
+// first while the budget suffices, and nothing waits for ever when it doesn't.
 #pragma once
 #include <array>
 #include <limits>
@@ -22,16 +23,20 @@
   void add(const QueuedWritePtr& write, double now);
   /// It could not be sent, and keeps its place.
   void put_back(const QueuedWritePtr& write);
-  /// It did not fit beside others: the next transaction begins with it, or it would wait for ever behind small ones.
+  /// It did not fit beside others: the next transaction begins with it, or it would wait for ever
+  /// behind small ones.
   void put_first(const QueuedWritePtr& write);
   void take(const QueuedWritePtr& write);
 
-  /// What may leave now in one transaction of `slots` puts, in the order in which to try it, without taking it. `level` is
-  /// what is left of the budget, in seconds' worth; records of which `is_busy` are being written.
-  std::vector<QueuedWritePtr> candidates(double now, double level, size_t slots,
-                                         const std::function<bool(const std::string& key)>& is_busy) const;
+  /// What may leave now in one transaction of `slots` puts, in the order in which to try it,
+  /// without taking it. `level` is what is left of the budget, in seconds' worth; records of which
+  /// `is_busy` are being written.
+  std::vector<QueuedWritePtr> candidates(
+      double now, double level, size_t slots,
+      const std::function<bool(const std::string& key)>& is_busy) const;
 
-  /// What waits for nothing but the budget: of what was gathered only what is overdue, and of that no more than counts.
+  /// What waits for nothing but the budget: of what was gathered only what is overdue, and of that
+  /// no more than counts.
   size_t pressing(double now) const;
   bool anything_pressing(double now) const;
   /// Others than users have waited for too long.
@@ -63,8 +68,9 @@
   std::map<std::string, double> team_weights_;
   std::array<Line, kWritePriorities> lines_;
   std::array<std::map<uint64_t, QueuedWritePtr>, kWritePriorities> by_age_;  // by number
-  std::array<double, kWritePriorities> turn_{};                              // of the last one that left
-  std::array<std::map<std::string, double>, kWritePriorities> team_turns_;   // of the last one added, while any waits
+  std::array<double, kWritePriorities> turn_{};  // of the last one that left
+  std::array<std::map<std::string, double>, kWritePriorities>
+      team_turns_;  // of the last one added, while any waits
   std::vector<QueuedWritePtr> first_;
   uint64_t next_number_ = 1;
   uint64_t transactions_ = 0;
@@ -77,7 +83,8 @@
   for (size_t p = 0; p < kWritePriorities; ++p) {
     if (by_age_[p].empty()) continue;
     const double overdue_at = by_age_[p].begin()->second->queued_at + longest_wait_s_[p];
-    due = std::min({due, above_at(Tunables::kWriteFloor[p]), std::max(overdue_at, above_at(Tunables::kOverdueFloor[p]))});
+    due = std::min({due, above_at(Tunables::kWriteFloor[p]),
+                    std::max(overdue_at, above_at(Tunables::kOverdueFloor[p]))});
   }
   return std::max(due, now);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -31,9 +31,12 @@
   std::string config, operators_file;
   bool check_only = false;
   app.add_option("--config", config, "the platform's settings file (TOML)")->required();
-  app.add_option("--operator-settings", operators_file, "the operators' own settings (S-expressions)");
-  app.add_flag("--check-config", check_only, "read the settings, say whether they are valid, and end");
-  app.set_version_flag("--version", std::string("rushtrestle ") + rushtrestle::coordination::program_version());
+  app.add_option("--operator-settings", operators_file,
+                 "the operators' own settings (S-expressions)");
+  app.add_flag("--check-config", check_only,
+               "read the settings, say whether they are valid, and end");
+  app.set_version_flag("--version",
+                       std::string("rushtrestle ") + rushtrestle::coordination::program_version());
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -43,8 +46,9 @@
     using namespace rushtrestle;
     const auto level = log_level();
     const auto settings = protocol::read_settings(config);
-    const auto operators =
-        operators_file.empty() ? store::OperatorSettings{} : protocol::read_operator_settings(operators_file, settings);
+    const auto operators = operators_file.empty()
+                               ? store::OperatorSettings{}
+                               : protocol::read_operator_settings(operators_file, settings);
     for (const auto& [name, address] : {std::pair{"serve_on", settings.listen},
                                         {"peer_listen", settings.peer_listen},
                                         {"external.cloud", settings.cloud},
--- a/src/protocol/call_codec.cpp
+++ b/src/protocol/call_codec.cpp
@@ -64,7 +64,8 @@
 struct CallEncoder {
   HttpCall operator()(const Txn& t) const {
     Json preconditions = Json::array(), writes = Json::array();
-    for (const auto& c : t.preconditions) preconditions.push_back({{"k", c.key}, {"stamp", c.mod_revision}});
+    for (const auto& c : t.preconditions)
+      preconditions.push_back({{"k", c.key}, {"stamp", c.mod_revision}});
     for (const auto& w : t.writes) {
       if (!w.value) {
         writes.push_back({{"delete", w.key}});
@@ -76,7 +77,9 @@
     }
     return state("POST", "/txn", {{"if", std::move(preconditions)}, {"then", std::move(writes)}});
   }
-  HttpCall operator()(const ReadKey& r) const { return {Service::state, "", "GET", "/store/" + percent_encode(r.key), ""}; }
+  HttpCall operator()(const ReadKey& r) const {
+    return {Service::state, "", "GET", "/store/" + percent_encode(r.key), ""};
+  }
   HttpCall operator()(const ListKeys& r) const {
     std::string target = "/store?page=200&starts=" + percent_encode(r.prefix);
     if (!r.after.empty()) target += "&since=" + percent_encode(r.after);
@@ -89,26 +92,46 @@
     return state("POST", "/leases/" + std::to_string(l.lease) + "/extend", Json::object());
   }
   HttpCall operator()(const Watch& w) const {
-    return {Service::state, "", "GET",
-            "/follow?starts=&since=" + std::to_string(w.since) + "&holdMs=" + milliseconds(w.hold_s), ""};
+    return {
+        Service::state, "", "GET",
+        "/follow?starts=&since=" + std::to_string(w.since) + "&holdMs=" + milliseconds(w.hold_s),
+        ""};
+  }
+  HttpCall operator()(const ListMachineTypes&) const {
+    return {Service::cloud, "", "GET", "/flavors", ""};
   }
-  HttpCall operator()(const ListMachineTypes&) const { return {Service::cloud, "", "GET", "/flavors", ""}; }
   HttpCall operator()(const ProvisionMachines& r) const {
-    return cloud("/rentals",
-                 {{"hire", r.request}, {"breed", r.type}, {"yard", r.zone}, {"loaners", r.spot}, {"count", r.count}});
+    return cloud("/rentals", {{"hire", r.request},
+                              {"breed", r.type},
+                              {"yard", r.zone},
+                              {"loaners", r.spot},
+                              {"count", r.count}});
+  }
+  HttpCall operator()(const DeleteMachines& d) const {
+    return cloud("/rentals/delete", {{"rigs", d.machines}});
   }
-  HttpCall operator()(const DeleteMachines& d) const { return cloud("/rentals/delete", {{"rigs", d.machines}}); }
   HttpCall operator()(const ListMachines& l) const {
-    return {Service::cloud, "", "GET", "/rentals?since=" + percent_encode(l.after) + "&page=500", ""};
+    return {Service::cloud, "", "GET", "/rentals?since=" + percent_encode(l.after) + "&page=500",
+            ""};
   }
   HttpCall operator()(const PushCommands& c) const {
     return {Service::worker, c.address, "POST", "/commands",
-            to_cbor({{"baton", c.fencing_token}, {"shift", c.agent_epoch}, {"orders", commands_json(c.commands)}})};
+            to_cbor({{"baton", c.fencing_token},
+                     {"shift", c.agent_epoch},
+                     {"orders", commands_json(c.commands)}})};
+  }
+  HttpCall operator()(const SendPeerState& p) const {
+    return peer(p.address, "/peer", peer_json(p.state));
+  }
+  HttpCall operator()(const ForwardHeartbeat& r) const {
+    return peer(r.address, "/relay", heartbeat_json(r.heartbeat));
   }
-  HttpCall operator()(const SendPeerState& p) const { return peer(p.address, "/peer", peer_json(p.state)); }
-  HttpCall operator()(const ForwardHeartbeat& r) const { return peer(r.address, "/relay", heartbeat_json(r.heartbeat)); }
   static HttpCall peer(const std::string& address, const char* target, const Json& body) {
-    return {Service::peer,     address, "POST", target, body.dump(-1, ' ', false, Json::error_handler_t::replace),
+    return {Service::peer,
+            address,
+            "POST",
+            target,
+            body.dump(-1, ' ', false, Json::error_handler_t::replace),
             "application/json"};
   }
   static HttpCall state(const char* method, std::string target, const Json& body) {
@@ -157,9 +180,11 @@
   for (const auto& e : f.list("log")) {
     const Fields event(e);
     if (event.find("put")) {
-      r.events.push_back({event.need("put").get<std::string>(), event.need("v"), event.count("stamp")});
+      r.events.push_back(
+          {event.need("put").get<std::string>(), event.need("v"), event.count("stamp")});
     } else {
-      r.events.push_back({event.need("delete").get<std::string>(), std::nullopt, event.count("stamp")});
+      r.events.push_back(
+          {event.need("delete").get<std::string>(), std::nullopt, event.count("stamp")});
     }
   }
   return r;
@@ -208,16 +233,20 @@
 
 HttpCall encode(const Call& call) { return std::visit(CallEncoder{}, call.body); }
 
-CallDone decode_reply(CallId id, ReplyKind kind, const std::string& key, int status, const std::string& body) {
+CallDone decode_reply(CallId id, ReplyKind kind, const std::string& key, int status,
+                      const std::string& body) {
   CallDone done{id, status, {}};
   if (kind == kind_of<RenewLease>() || kind == kind_of<DeleteMachines>()) return done;
-  const bool has_body = status == 200 || (status == 409 && (kind == kind_of<Txn>() || kind == kind_of<PushCommands>())) ||
-                        (status == 404 && kind == kind_of<ReadKey>());
+  const bool has_body =
+      status == 200 ||
+      (status == 409 && (kind == kind_of<Txn>() || kind == kind_of<PushCommands>())) ||
+      (status == 404 && kind == kind_of<ReadKey>());
   if (!has_body) return done;
   if (kind == kind_of<SendPeerState>() || kind == kind_of<ForwardHeartbeat>()) {
     const Json j = Json::parse(body, nullptr, false);
     auto reply = j.is_discarded() ? std::nullopt : guarded([&] {
-      return kind == kind_of<SendPeerState>() ? Reply{peer_from_json(j)} : Reply{heartbeat_response_from_json(j)};
+      return kind == kind_of<SendPeerState>() ? Reply{peer_from_json(j)}
+                                              : Reply{heartbeat_response_from_json(j)};
     });
     if (reply) {
       done.reply = std::move(*reply);
--- a/src/protocol/cbor.cpp
+++ b/src/protocol/cbor.cpp
@@ -26,12 +26,15 @@
   bool end_object() override { return --depth >= 0; }
   bool start_array(size_t) override { return ++depth <= kMaxDepth; }
   bool end_array() override { return --depth >= 0; }
-  bool parse_error(size_t, const std::string&, const nlohmann::detail::exception&) override { return false; }
+  bool parse_error(size_t, const std::string&, const nlohmann::detail::exception&) override {
+    return false;
+  }
 };
 
 }  // namespace
 
-// The library throws for an announced size that no memory holds, even where it is told not to throw.
+// The library throws for an announced size that no memory holds, even where it is told not to
+// throw.
 std::optional<Json> read_cbor(const std::string& body) try {
   Json j = Json::from_cbor(body, true, false);
   if (j.is_discarded()) return std::nullopt;
@@ -41,7 +44,8 @@
 }
 std::optional<Json> parse_cbor(const std::string& body) {
   Guard guard;
-  if (body.empty() || !Json::sax_parse(body, &guard, Json::input_format_t::cbor)) return std::nullopt;
+  if (body.empty() || !Json::sax_parse(body, &guard, Json::input_format_t::cbor))
+    return std::nullopt;
   return read_cbor(body);
 }
 
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -27,11 +27,15 @@
   const char* content_type = "application/cbor";
 };
 /// A request from a user or a worker: a command, or an answer at once.
-std::variant<coordination::Command, HttpAnswer> decode_request(coordination::RequestId id, const std::string& method,
-                                                               const std::string& target, const std::string& body,
+std::variant<coordination::Command, HttpAnswer> decode_request(coordination::RequestId id,
+                                                               const std::string& method,
+                                                               const std::string& target,
+                                                               const std::string& body,
                                                                bool too_large);
-std::variant<coordination::Command, HttpAnswer> decode_peer_request(coordination::RequestId id, const std::string& method,
-                                                                    const std::string& target, const std::string& body);
+std::variant<coordination::Command, HttpAnswer> decode_peer_request(coordination::RequestId id,
+                                                                    const std::string& method,
+                                                                    const std::string& target,
+                                                                    const std::string& body);
 
 HttpAnswer encode(const coordination::AnswerUser& a);
 HttpAnswer encode(const coordination::AnswerHeartbeat& a);
@@ -49,7 +53,7 @@
 HttpCall encode(const coordination::Call& call);
 /// What `decode_reply` needs to know of the call it answers.
 using ReplyKind = size_t;  // index of the alternative in CallBody
-coordination::CallDone decode_reply(coordination::CallId id, ReplyKind kind, const std::string& key, int status,
-                                    const std::string& body);
+coordination::CallDone decode_reply(coordination::CallId id, ReplyKind kind, const std::string& key,
+                                    int status, const std::string& body);
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/fields.h
+++ b/src/protocol/fields.h
@@ -13,7 +13,8 @@
 /// Largest amount taken from a message.
 constexpr double kMaxAmount = 1e9;
 
-/// Thrown within the codecs for a message that breaks the protocol; `guarded` turns it into "no value".
+/// Thrown within the codecs for a message that breaks the protocol; `guarded` turns it into "no
+/// value".
 struct Invalid {};
 
 /// Typed access to a map's fields; anything unexpected ends the decoding.
@@ -56,7 +57,9 @@
     return v.get<bool>();
   }
   bool flag_or(const char* name, bool fallback) const { return find(name) ? flag(name) : fallback; }
-  double amount_or(const char* name, double fallback) const { return find(name) ? amount(name) : fallback; }
+  double amount_or(const char* name, double fallback) const {
+    return find(name) ? amount(name) : fallback;
+  }
   const store::Json& list(const char* name) const {
     const store::Json& v = need(name);
     if (!v.is_array()) throw Invalid{};
--- a/src/protocol/operator_settings.cpp
+++ b/src/protocol/operator_settings.cpp
@@ -48,7 +48,8 @@
     }
     if (c == '\n') ++line;
   }
-  if (depth != 0) throw SettingsError("line " + std::to_string(start_line) + ": form is not closed");
+  if (depth != 0)
+    throw SettingsError("line " + std::to_string(start_line) + ": form is not closed");
   return forms;
 }
 
@@ -60,7 +61,8 @@
         text_(form.text),
         platform_(platform),
         tree_(parse_sexp(text_.data(), text_.size()), destroy_sexp) {
-    if (!tree_ || tree_->ty != SEXP_LIST || !tree_->list || tree_->list->ty != SEXP_VALUE) throw fault("not a setting");
+    if (!tree_ || tree_->ty != SEXP_LIST || !tree_->list || tree_->list->ty != SEXP_VALUE)
+      throw fault("not a setting");
     name_ = tree_->list->val;
     arguments_ = tree_->list->next;
   }
@@ -86,14 +88,17 @@
   }
 
  private:
-  SettingsError fault(const std::string& why) const { return SettingsError("line " + std::to_string(line_) + ": " + why); }
+  SettingsError fault(const std::string& why) const {
+    return SettingsError("line " + std::to_string(line_) + ": " + why);
+  }
 
   double number(const sexp_t* at) const {
     double v = 0;
     if (!at || at->ty != SEXP_VALUE) throw fault(name_ + ": a number is missing");
     const char* end = at->val + std::char_traits<char>::length(at->val);
     const auto [p, ec] = std::from_chars(at->val, end, v);
-    if (ec != std::errc{} || p != end || !std::isfinite(v)) throw fault(name_ + ": '" + at->val + "' is no number");
+    if (ec != std::errc{} || p != end || !std::isfinite(v))
+      throw fault(name_ + ": '" + at->val + "' is no number");
     return v;
   }
 
@@ -105,7 +110,8 @@
   }
 
   bool on_or_off() const {
-    const std::string v = arguments_ && arguments_->ty == SEXP_VALUE && !arguments_->next ? arguments_->val : "";
+    const std::string v =
+        arguments_ && arguments_->ty == SEXP_VALUE && !arguments_->next ? arguments_->val : "";
     if (v != "on" && v != "off") throw fault(name_ + ": takes on or off");
     return v == "on";
   }
@@ -114,7 +120,8 @@
     std::vector<store::Rank> out;
     for (const sexp_t* a = arguments_; a; a = a->next) {
       bool known = false;
-      for (const auto r : {store::Rank::low, store::Rank::normal, store::Rank::high, store::Rank::production})
+      for (const auto r :
+           {store::Rank::low, store::Rank::normal, store::Rank::high, store::Rank::production})
         if (a->ty == SEXP_VALUE && std::string(rank_name(r)) == a->val) {
           out.push_back(r);
           known = true;
@@ -125,12 +132,15 @@
   }
 
   std::pair<std::string, double> team_share() const {
-    if (!arguments_ || arguments_->ty != SEXP_VALUE) throw fault("team-share: a team's name is missing");
+    if (!arguments_ || arguments_->ty != SEXP_VALUE)
+      throw fault("team-share: a team's name is missing");
     const std::string team = arguments_->val;
-    if (std::none_of(platform_.teams.begin(), platform_.teams.end(), [&](const auto& t) { return t.name == team; }))
+    if (std::none_of(platform_.teams.begin(), platform_.teams.end(),
+                     [&](const auto& t) { return t.name == team; }))
       throw fault("team-share: no team '" + team + "'");
     const double share = number(arguments_->next);
-    if (share <= 0 || arguments_->next->next) throw fault("team-share: takes a team and one number above 0");
+    if (share <= 0 || arguments_->next->next)
+      throw fault("team-share: takes a team and one number above 0");
     return {team, share};
   }
 
@@ -144,13 +154,15 @@
 
 }  // namespace
 
-store::OperatorSettings parse_operator_settings(const std::string& text, const store::Settings& platform) {
+store::OperatorSettings parse_operator_settings(const std::string& text,
+                                                const store::Settings& platform) {
   store::OperatorSettings s;
   for (const auto& form : split_forms(text)) Setting(form, platform).apply(s);
   return s;
 }
 
-store::OperatorSettings read_operator_settings(const std::string& path, const store::Settings& platform) {
+store::OperatorSettings read_operator_settings(const std::string& path,
+                                               const store::Settings& platform) {
   try {
     return parse_operator_settings(read_file(path), platform);
   } catch (const SettingsError& e) {
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -45,10 +45,12 @@
             {"record_format", s.record_format}};
   if (s.budget_need) j["need"] = *s.budget_need;
   if (s.current_age_s) j["current_age"] = *s.current_age_s;
-  if (s.acknowledged) j["has"] = {{"incarnation", s.acknowledged->incarnation}, {"upto", s.acknowledged->count}};
+  if (s.acknowledged)
+    j["has"] = {{"incarnation", s.acknowledged->incarnation}, {"upto", s.acknowledged->count}};
   if (s.offered_cancellations) {
     Json cancelled = Json::array();
-    for (const auto& c : s.offered_cancellations->cancellations) cancelled.push_back({c.job, c.mod_revision});
+    for (const auto& c : s.offered_cancellations->cancellations)
+      cancelled.push_back({c.job, c.mod_revision});
     j["handover"] = {{"incarnation", s.offered_cancellations->mark.incarnation},
                      {"from", s.offered_cancellations->from},
                      {"upto", s.offered_cancellations->mark.count},
@@ -83,7 +85,8 @@
 Json heartbeat_json(const Heartbeat& r) {
   Json tasks = Json::array();
   for (const auto& t : r.tasks)
-    tasks.push_back({t.job, t.task, t.attempt, static_cast<int>(t.state), static_cast<int>(t.cause), t.saved});
+    tasks.push_back(
+        {t.job, t.task, t.attempt, static_cast<int>(t.state), static_cast<int>(t.cause), t.saved});
   Json j = {{"machine", r.machine}, {"address", r.address},     {"type", r.type},
             {"zone", r.zone},       {"spot", r.spot},           {"session", r.agent_epoch},
             {"seq", r.sequence},    {"token", r.fencing_token}, {"tasks", std::move(tasks)}};
@@ -104,32 +107,41 @@
   if (j.contains("notice")) r.notice_s = j["notice"].get<double>();
   for (const auto& t : j.at("tasks"))
     r.tasks.push_back({t.at(0).get<std::string>(), t.at(1).get<uint32_t>(), t.at(2).get<uint64_t>(),
-                       static_cast<TaskState>(t.at(3).get<int>()), static_cast<ExitCause>(t.at(4).get<int>()),
-                       t.at(5).get<bool>(), false});
+                       static_cast<TaskState>(t.at(3).get<int>()),
+                       static_cast<ExitCause>(t.at(4).get<int>()), t.at(5).get<bool>(), false});
   return r;
 }
 
 Json heartbeat_response_json(const HeartbeatResponse& r) {
   Json commands = Json::array();
-  for (const auto& c : r.commands) commands.push_back({static_cast<int>(c.verb), c.job, c.task, c.attempt, c.grace_s});
-  return {{"status", r.status}, {"token", r.fencing_token}, {"commands", std::move(commands)}, {"redirect", r.redirect}};
+  for (const auto& c : r.commands)
+    commands.push_back({static_cast<int>(c.verb), c.job, c.task, c.attempt, c.grace_s});
+  return {{"status", r.status},
+          {"token", r.fencing_token},
+          {"commands", std::move(commands)},
+          {"redirect", r.redirect}};
 }
 
 HeartbeatResponse heartbeat_response_from_json(const Json& j) {
-  HeartbeatResponse r{j.at("status").get<int>(), j.at("token").get<uint64_t>(), {}, j.at("redirect").get<std::string>()};
+  HeartbeatResponse r{j.at("status").get<int>(),
+                      j.at("token").get<uint64_t>(),
+                      {},
+                      j.at("redirect").get<std::string>()};
   for (const auto& c : j.at("commands"))
-    r.commands.push_back({static_cast<WorkerVerb>(c.at(0).get<int>()), c.at(1).get<std::string>(), c.at(2).get<uint32_t>(),
-                          c.at(3).get<uint64_t>(), c.at(4).get<double>()});
+    r.commands.push_back({static_cast<WorkerVerb>(c.at(0).get<int>()), c.at(1).get<std::string>(),
+                          c.at(2).get<uint32_t>(), c.at(3).get<uint64_t>(), c.at(4).get<double>()});
   return r;
 }
 
-std::variant<Command, HttpAnswer> decode_peer_request(RequestId id, const std::string& method, const std::string& target,
+std::variant<Command, HttpAnswer> decode_peer_request(RequestId id, const std::string& method,
+                                                      const std::string& target,
                                                       const std::string& body) {
   if (target != "/peer" && target != "/relay") return refusal(404, "no such path");
   if (method != "POST") return wrong_method("POST");
   const Json j = Json::parse(body, nullptr, false);
   if (target == "/relay") {
-    auto heartbeat = j.is_discarded() ? std::nullopt : guarded([&] { return heartbeat_from_json(j); });
+    auto heartbeat =
+        j.is_discarded() ? std::nullopt : guarded([&] { return heartbeat_from_json(j); });
     if (!heartbeat) return refusal(400, "malformed");
     return Command{HandleForwardedHeartbeat{id, std::move(*heartbeat)}};
   }
@@ -138,7 +150,9 @@
   return Command{HandlePeerState{id, std::move(*state)}};
 }
 
-HttpAnswer encode(const AnswerForwardedHeartbeat& a) { return peer_answer(heartbeat_response_json(a.reply)); }
+HttpAnswer encode(const AnswerForwardedHeartbeat& a) {
+  return peer_answer(heartbeat_response_json(a.reply));
+}
 
 HttpAnswer encode(const AnswerPeer& a) { return peer_answer(peer_json(a.state)); }
 
--- a/src/protocol/platform_settings.cpp
+++ b/src/protocol/platform_settings.cpp
@@ -26,7 +26,8 @@
   s.state = services.text("state");
 }
 
-// "A value of 0 means none" (DEPLOY): a best-effort team has 0 for both, and its work is not to be refused for it.
+// "A value of 0 means none" (DEPLOY): a best-effort team has 0 for both, and its work is not to be
+// refused for it.
 double quota_of(const Table& team, const char* key) {
   const double stated = team.number(key, 0);
   if (stated > 0) return stated;
@@ -53,8 +54,8 @@
         return std::string();  // not every kind of aim has a class
       }
     };
-    s.objectives.push_back(
-        {text_or_empty("kind"), text_or_empty("class"), o.number_or("within_s", 0), o.number_or("share", 0)});
+    s.objectives.push_back({text_or_empty("kind"), text_or_empty("class"),
+                            o.number_or("within_s", 0), o.number_or("share", 0)});
   }
 }
 
@@ -62,8 +63,10 @@
   s.heartbeat_interval_s = w.positive("report_s");
   s.lease_s = w.positive("lease_s");
   s.cancel_s = w.positive("cancel_s");
-  if (s.lease_s <= s.heartbeat_interval_s) throw SettingsError("deployment.workers.lease_s: must be above report_s");
-  if (s.cancel_s <= s.lease_s) throw SettingsError("deployment.workers.cancel_s: must be above lease_s");
+  if (s.lease_s <= s.heartbeat_interval_s)
+    throw SettingsError("deployment.workers.lease_s: must be above report_s");
+  if (s.cancel_s <= s.lease_s)
+    throw SettingsError("deployment.workers.cancel_s: must be above lease_s");
   s.gang_wait_s = w.positive_or("gang_wait_s", 0);
   s.gang_peer_s = w.positive_or("gang_peer_s", 0);
 }
@@ -83,8 +86,8 @@
 void read_deployment(const Table& d, store::Settings& s) {
   s.nodes = d.whole_number("count", 1);
   if (s.nodes != static_cast<int>(s.peers.size()) + 1)
-    throw SettingsError("deployment.count: is " + std::to_string(s.nodes) + ", but " + std::to_string(s.peers.size()) +
-                        " peers are listed");
+    throw SettingsError("deployment.count: is " + std::to_string(s.nodes) + ", but " +
+                        std::to_string(s.peers.size()) + " peers are listed");
   s.zones = d.texts("zones");
   s.clock_error_s = d.number_or("clock_error_ms", 0) / 1000;
   read_teams(d, s);
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -13,7 +13,9 @@
 };
 
 store::Settings read_settings(const std::string& path);
-store::OperatorSettings read_operator_settings(const std::string& path, const store::Settings& platform);
-store::OperatorSettings parse_operator_settings(const std::string& text, const store::Settings& platform);
+store::OperatorSettings read_operator_settings(const std::string& path,
+                                               const store::Settings& platform);
+store::OperatorSettings parse_operator_settings(const std::string& text,
+                                                const store::Settings& platform);
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/toml_table.h
+++ b/src/protocol/toml_table.h
@@ -21,7 +21,8 @@
   TomlTable(const toml::table& t, std::string name) : t_(t), name_(std::move(name)) {}
   TomlTable sub(const char* key) const {
     const auto* t = t_[key].as_table();
-    if (!t) throw SettingsError(full(key) + (t_.contains(key) ? ": must be a table" : ": table missing"));
+    if (!t)
+      throw SettingsError(full(key) + (t_.contains(key) ? ": must be a table" : ": table missing"));
     return {*t, full(key)};
   }
   std::optional<TomlTable> sub_if(const char* key) const {
@@ -46,17 +47,23 @@
     const auto v = t_[key].value<double>();
     if (!v) throw SettingsError(full(key) + ": number missing");
     if (!std::isfinite(*v) || *v < least || (exclusive && *v <= least))
-      throw SettingsError(full(key) + ": must be " + (exclusive ? "above " : "at least ") + std::to_string(least));
+      throw SettingsError(full(key) + ": must be " + (exclusive ? "above " : "at least ") +
+                          std::to_string(least));
     return *v;
   }
   int whole_number(const char* key, int least) const {
     const double v = number(key, least);
     constexpr double kMost = 1e9;
-    if (v != std::floor(v) || v > kMost) throw SettingsError(full(key) + ": must be a whole number");
+    if (v != std::floor(v) || v > kMost)
+      throw SettingsError(full(key) + ": must be a whole number");
     return static_cast<int>(v);
   }
-  double positive_or(const char* key, double fallback) const { return t_.contains(key) ? positive(key) : fallback; }
-  double number_or(const char* key, double fallback) const { return t_.contains(key) ? number(key, 0) : fallback; }
+  double positive_or(const char* key, double fallback) const {
+    return t_.contains(key) ? positive(key) : fallback;
+  }
+  double number_or(const char* key, double fallback) const {
+    return t_.contains(key) ? number(key, 0) : fallback;
+  }
   double positive(const char* key) const { return number(key, 0, true); }
   std::vector<TomlTable> list(const char* key) const {
     std::vector<TomlTable> out;
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -39,7 +39,9 @@
     // `group` stands in the platform's word list, though not on its protocol page:
     // tasks that run together (docs/questions.md).
     if (kind != "array" && kind != "daemon" && kind != "group") throw Invalid{};
-    s.kind = kind == "array" ? store::JobKind::array : kind == "daemon" ? store::JobKind::service : store::JobKind::gang;
+    s.kind = kind == "array"    ? store::JobKind::array
+             : kind == "daemon" ? store::JobKind::service
+                                : store::JobKind::gang;
     static constexpr const char* kRanks[] = {"idle", "normal", "urgent", "prod"};
     const auto* r = std::find(std::begin(kRanks), std::end(kRanks), rank);
     if (r == std::end(kRanks)) throw Invalid{};
@@ -71,8 +73,9 @@
   });
 }
 
-std::variant<Command, HttpAnswer> decode_request(RequestId id, const std::string& method, const std::string& target,
-                                                 const std::string& body, bool too_large) {
+std::variant<Command, HttpAnswer> decode_request(RequestId id, const std::string& method,
+                                                 const std::string& target, const std::string& body,
+                                                 bool too_large) {
   const std::string path = target.substr(0, target.find('?'));
   static const std::string jobs = "/v1/jobs", abort_suffix = "/abort";
   if (path == "/checkin") {
@@ -91,8 +94,9 @@
   }
   if (path.compare(0, jobs.size() + 1, jobs + "/") == 0) {
     std::string job = path.substr(jobs.size() + 1);
-    const bool abort = job.size() > abort_suffix.size() &&
-                       job.compare(job.size() - abort_suffix.size(), abort_suffix.size(), abort_suffix) == 0;
+    const bool abort =
+        job.size() > abort_suffix.size() &&
+        job.compare(job.size() - abort_suffix.size(), abort_suffix.size(), abort_suffix) == 0;
     if (abort) job.resize(job.size() - abort_suffix.size());
     if (!valid_job_id(job)) return refusal(404, "no such job");
     if (method != (abort ? "POST" : "GET")) return wrong_method(abort ? "POST" : "GET");
@@ -111,7 +115,8 @@
   std::string headers;
   // Whole seconds, rounded up: an earlier retry would find nothing changed.
   if (a.status == 503 || a.status == 429)
-    headers = "Retry-After: " + std::to_string(std::max(1, static_cast<int>(std::ceil(a.retry_after_s)))) + "\r\n";
+    headers = "Retry-After: " +
+              std::to_string(std::max(1, static_cast<int>(std::ceil(a.retry_after_s)))) + "\r\n";
   if (!a.job) {
     if (a.status == 200) return {200, "", headers, "application/cbor"};
     return cbor_answer(a.status,
@@ -125,19 +130,23 @@
                        : v.status == store::JobStatus::cancelled ? "withdrawn"
                        : v.running > 0                           ? "running"
                                                                  : "queued";
-  return cbor_answer(a.status, {{"id", v.id}, {"status", status}, {"done", v.done}, {"running", v.running}}, headers);
+  return cbor_answer(a.status,
+                     {{"id", v.id}, {"status", status}, {"done", v.done}, {"running", v.running}},
+                     headers);
 }
 
 HttpAnswer encode(const AnswerHeartbeat& a) {
   const auto& r = a.reply;
-  if (r.status == 200) return cbor_answer(200, {{"baton", r.fencing_token}, {"orders", commands_json(r.commands)}});
+  if (r.status == 200)
+    return cbor_answer(200, {{"baton", r.fencing_token}, {"orders", commands_json(r.commands)}});
   Json body = Json::object();
   if (r.status == 421 && !r.redirect.empty()) body["foreman"] = r.redirect;
   return cbor_answer(r.status, body, r.status == 503 ? "Retry-After: 1\r\n" : "");
 }
 
 HttpAnswer encode(const AnswerStats& a) {
-  return {200, a.body.dump(2, ' ', false, Json::error_handler_t::replace) + "\n", "", "application/json"};
+  return {200, a.body.dump(2, ' ', false, Json::error_handler_t::replace) + "\n", "",
+          "application/json"};
 }
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -30,7 +30,9 @@
   return ExitCause::error;  // `error`, and any cause that a later version may bring
 }
 
-std::string task_name(const std::string& job, uint32_t task) { return job + "/" + std::to_string(task); }
+std::string task_name(const std::string& job, uint32_t task) {
+  return job + "/" + std::to_string(task);
+}
 
 }  // namespace
 
--- a/src/store/domain.h
+++ b/src/store/domain.h
@@ -13,7 +13,8 @@
   // Amounts are decimal numbers; sums of them must not fail by a rounding.
   static constexpr double kSlack = 1e-6;
   bool fits(const Resources& room) const {
-    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack && memory_gb <= room.memory_gb + kSlack;
+    return cpus <= room.cpus + kSlack && gpus <= room.gpus + kSlack &&
+           memory_gb <= room.memory_gb + kSlack;
   }
   void add(const Resources& o, double times = 1) {
     cpus += o.cpus * times;
@@ -80,8 +81,8 @@
   double gang_wait_s = 0, gang_peer_s = 0;  // 0: not told
   double state_rps = 0, state_write_rps = 0, value_kb = 0;
   int txn_ops = 0;
-  // The state service falls to `next` without notice: values and transactions keep to the lower from the start
-  // (above), the rate follows what is answered. 0: it stays.
+  // The state service falls to `next` without notice: values and transactions keep to the lower
+  // from the start (above), the rate follows what is answered. 0: it stays.
   double next_write_rps = 0;
   double cloud_rps = 0, list_lag_s = 0;
   double cpu_share = 0, memory_mb = 0;
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -65,12 +65,14 @@
 }
 
 uint32_t JobRecord::running() const {
-  return static_cast<uint32_t>(std::count_if(placed.begin(), placed.end(), [](const Placement& p) { return p.running; }));
+  return static_cast<uint32_t>(
+      std::count_if(placed.begin(), placed.end(), [](const Placement& p) { return p.running; }));
 }
 
 size_t stored_size(const Json& value) {
   const std::string text = value.dump(-1, ' ', false, Json::error_handler_t::replace);
-  const auto separators = std::count_if(text.begin(), text.end(), [](char c) { return c == ',' || c == ':'; });
+  const auto separators =
+      std::count_if(text.begin(), text.end(), [](char c) { return c == ',' || c == ':'; });
   return text.size() + static_cast<size_t>(separators);
 }
 
@@ -150,15 +152,19 @@
   if (j.contains("placed")) {
     for (const auto& p : j["placed"]) {
       const int flags = p.at(3).get<int>();
-      r.placed.push_back(Placement{p.at(0).get<uint32_t>(), p.at(1).get<std::string>(), p.at(2).get<uint64_t>(),
-                                   (flags & 1) != 0, (flags & 2) != 0});
+      r.placed.push_back(Placement{p.at(0).get<uint32_t>(), p.at(1).get<std::string>(),
+                                   p.at(2).get<uint64_t>(), (flags & 1) != 0, (flags & 2) != 0});
     }
   }
   return r;
 }
 
 Json to_json(const MachineRecord& r) {
-  Json j = {{"id", r.id},   {"type", r.type}, {"zone", r.zone}, {"part", r.shard}, {"phase", static_cast<int>(r.phase)},
+  Json j = {{"id", r.id},
+            {"type", r.type},
+            {"zone", r.zone},
+            {"part", r.shard},
+            {"phase", static_cast<int>(r.phase)},
             {"at", r.since}};
   if (!r.address.empty()) j["addr"] = r.address;
   if (r.spot) j["spot"] = true;
@@ -207,14 +213,15 @@
 std::vector<MachineType> types_from_json(const Json& j) {
   std::vector<MachineType> types;
   for (const auto& t : j)
-    types.push_back({t.at("name").get<std::string>(),
-                     {t.at("cpus").get<double>(), t.at("gpus").get<double>(), t.at("mem").get<double>()},
-                     t.at("cache").get<double>(),
-                     t.at("fetch").get<double>(),
-                     t.at("price").get<double>(),
-                     t.at("spot").get<double>(),
-                     t.at("boot").get<double>(),
-                     t.at("zones").get<std::vector<std::string>>()});
+    types.push_back(
+        {t.at("name").get<std::string>(),
+         {t.at("cpus").get<double>(), t.at("gpus").get<double>(), t.at("mem").get<double>()},
+         t.at("cache").get<double>(),
+         t.at("fetch").get<double>(),
+         t.at("price").get<double>(),
+         t.at("spot").get<double>(),
+         t.at("boot").get<double>(),
+         t.at("zones").get<std::vector<std::string>>()});
   return types;
 }
 
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -49,14 +49,16 @@
 
   bool final_state() const { return status != JobStatus::open; }
   const Placement* placement_of(uint32_t task) const;
-  /// The very same: a placement that was given up and then carried out late has this one's attempt number, too.
+  /// The very same: a placement that was given up and then carried out late has this one's attempt
+  /// number, too.
   const Placement* same_placement(const Placement& p) const;
   uint32_t running() const;
 };
 
 enum class MachinePhase {
   assigned,                // belongs to its part
-  reassignment_requested,  // the cluster leader asks its shard leader for it: to release it, or to move it to `next_shard`
+  reassignment_requested,  // the cluster leader asks its shard leader for it: to release it, or to
+                           // move it to `next_shard`
   released,                // empty, to be deleted; never left but for `deleted`
   marked_for_deletion,     // not to be trusted, to be deleted; never left but for `deleted`
   deleted                  // the cloud confirmed the deletion
@@ -73,7 +75,8 @@
 
   bool usable() const { return phase == MachinePhase::assigned; }
   bool terminating() const {
-    return phase == MachinePhase::released || phase == MachinePhase::marked_for_deletion || phase == MachinePhase::deleted;
+    return phase == MachinePhase::released || phase == MachinePhase::marked_for_deletion ||
+           phase == MachinePhase::deleted;
   }
 };
 
@@ -83,8 +86,8 @@
   std::string incarnation;
 };
 
-/// Bytes that a value takes by the state service's count, which is of its JSON form; with a space after each separator,
-/// as some writers put there.
+/// Bytes that a value takes by the state service's count, which is of its JSON form; with a space
+/// after each separator, as some writers put there.
 size_t stored_size(const Json& value);
 
 Json to_json(const JobSpec& s);
@@ -99,7 +102,8 @@
 std::vector<MachineType> types_from_json(const Json& j);
 
 inline std::string job_key(const std::string& id) { return "job/" + id; }
-/// A cancellation beside a job record that is too large to be written again. Its key counts as the record's status.
+/// A cancellation beside a job record that is too large to be written again. Its key counts as the
+/// record's status.
 inline std::string cancel_key(const std::string& id) { return "cancel/" + id; }
 inline std::string machine_key(const std::string& id) { return "machine/" + id; }
 inline std::string shard_key(int shard) { return "part/" + std::to_string(shard); }
@@ -108,8 +112,8 @@
 /// Names the record format that every controller is known to read.
 inline const std::string format_key = "format";
 
-/// The newest record format that this version reads. 0: job, machine, holder and type records, as read by every
-/// version. 1: cancellations beside job records.
+/// The newest record format that this version reads. 0: job, machine, holder and type records, as
+/// read by every version. 1: cancellations beside job records.
 constexpr uint64_t kRecordFormat = 1;
 
 }  // namespace rushtrestle::store
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -35,10 +35,12 @@
   if (change.mod_revision <= job_mod_revision(id)) return;
   Versioned<JobRecord> fresh{job_record_from_json(*change.value), change.mod_revision};
   // The record could not be written again: the cancellation beside it is its status.
-  if (fresh.record.status == JobStatus::open && cancel_revisions_.count(id)) fresh.record.status = JobStatus::cancelled;
+  if (fresh.record.status == JobStatus::open && cancel_revisions_.count(id))
+    fresh.record.status = JobStatus::cancelled;
   const bool known_before = cancelled(id);
   const auto& slot = jobs_[id] = std::move(fresh);
-  if (slot.record.status == JobStatus::cancelled) note_cancelled(id, change.mod_revision, known_before);
+  if (slot.record.status == JobStatus::cancelled)
+    note_cancelled(id, change.mod_revision, known_before);
   const bool over = slot.record.final_state() && slot.record.placed.empty();
   finished_.erase(id);
   if (over) {
@@ -50,8 +52,9 @@
   if (over) finish_job(id);
 }
 
-// With its whole record each job that was ever accepted kept 540 bytes in every controller for ever, and a fleet of 44,000
-// jobs a day filled one of 37 MB on the second day, which from then on accepted nothing.
+// With its whole record each job that was ever accepted kept 540 bytes in every controller for
+// ever, and a fleet of 44,000 jobs a day filled one of 37 MB on the second day, which from then on
+// accepted nothing.
 void StateCache::finish_job(const std::string& id) {
   const auto node = jobs_.extract(id);
   const auto& last = node.mapped();
@@ -132,13 +135,22 @@
   if (const auto* live = job(id))
     return live->record.status == JobStatus::cancelled || unconfirmed_cancellations_.count(id) != 0;
   const auto* finished = finished_job(id);
-  return (finished && finished->status == JobStatus::cancelled) || unconfirmed_cancellations_.count(id) != 0;
+  return (finished && finished->status == JobStatus::cancelled) ||
+         unconfirmed_cancellations_.count(id) != 0;
 }
 
-const Versioned<JobRecord>* StateCache::job(const std::string& id) const { return find_in(jobs_, id); }
-const FinishedJob* StateCache::finished_job(const std::string& id) const { return find_in(finished_, id); }
-const Versioned<MachineRecord>* StateCache::machine(const std::string& id) const { return find_in(machines_, id); }
-const LeaseHolder* StateCache::lease_holder(const std::string& key) const { return find_in(lease_holders_, key); }
+const Versioned<JobRecord>* StateCache::job(const std::string& id) const {
+  return find_in(jobs_, id);
+}
+const FinishedJob* StateCache::finished_job(const std::string& id) const {
+  return find_in(finished_, id);
+}
+const Versioned<MachineRecord>* StateCache::machine(const std::string& id) const {
+  return find_in(machines_, id);
+}
+const LeaseHolder* StateCache::lease_holder(const std::string& key) const {
+  return find_in(lease_holders_, key);
+}
 
 uint64_t StateCache::mod_revision_of(const std::string& key) const {
   if (has_prefix(key, "job/")) return job_mod_revision(key.substr(4));
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -23,8 +23,9 @@
   uint64_t mod_revision = 0;
 };
 
-/// What is kept of a job that is over and holds no machine: all that an answer, a repeated submission and the hand-over of
-/// cancellations need. Its record stays in the state service as it is.
+/// What is kept of a job that is over and holds no machine: all that an answer, a repeated
+/// submission and the hand-over of cancellations need. Its record stays in the state service as it
+/// is.
 struct FinishedJob {
   uint64_t mod_revision = 0;
   uint32_t tasks_done = 0;
@@ -59,7 +60,8 @@
   void reached(uint64_t revision) { revision_ = std::max(revision_, revision); }
   uint64_t revision() const { return revision_; }
 
-  /// What another controller's state cache holds: true, as a cancellation is never undone, though not read here yet.
+  /// What another controller's state cache holds: true, as a cancellation is never undone, though
+  /// not read here yet.
   void add_unconfirmed_cancellation(const Cancellation& cancellation);
   /// The record format that every controller reads, as the cluster leader has recorded it.
   uint64_t record_format() const { return record_format_; }
@@ -78,8 +80,8 @@
   uint64_t mod_revision_of(const std::string& key) const;
 
   using Machines = std::map<std::string, const Versioned<MachineRecord>*>;
-  /// Machines that are not gone. Those that are gone stay known by `machine`, for ever: to look through them, too, took
-  /// longer with each machine that was ever rented.
+  /// Machines that are not gone. Those that are gone stay known by `machine`, for ever: to look
+  /// through them, too, took longer with each machine that was ever rented.
   const Machines& present_machines() const { return present_machines_; }
   /// Of these, released ones and those marked for deletion: the cluster leader deletes them.
   const Machines& terminating_machines() const { return terminating_machines_; }
@@ -101,8 +103,9 @@
 
   Listener& listener_;
   uint64_t revision_ = 0, types_revision_ = 0;
-  std::unordered_map<std::string, Versioned<JobRecord>> jobs_;  // not over, or still holding machines
-  std::unordered_map<std::string, FinishedJob> finished_;       // all others
+  std::unordered_map<std::string, Versioned<JobRecord>>
+      jobs_;                                               // not over, or still holding machines
+  std::unordered_map<std::string, FinishedJob> finished_;  // all others
   std::map<std::string, Versioned<MachineRecord>> machines_;
   Machines present_machines_, terminating_machines_;
   std::map<std::string, LeaseHolder> lease_holders_;
--- a/src/transport/controller_server.cpp
+++ b/src/transport/controller_server.cpp
@@ -38,26 +38,32 @@
   return static_cast<double>(info.uordblks + info.hblkhd) / (1024.0 * 1024.0);
 }
 
-/// The order in which the effects of one batch leave. With little processor time the last leave late, and a renewal
-/// that did lost the lease, all parts, and the answers to all their workers.
+/// The order in which the effects of one batch leave. With little processor time the last leave
+/// late, and a renewal that did lost the lease, all parts, and the answers to all their workers.
 enum class Urgency { renewal, worker, other };
 Urgency urgency(const Effect& effect) {
-  if (std::holds_alternative<AnswerHeartbeat>(effect) || std::holds_alternative<AnswerForwardedHeartbeat>(effect))
+  if (std::holds_alternative<AnswerHeartbeat>(effect) ||
+      std::holds_alternative<AnswerForwardedHeartbeat>(effect))
     return Urgency::worker;
   const auto* call = std::get_if<Call>(&effect);
   if (!call) return Urgency::other;
-  if (std::holds_alternative<GrantLease>(call->body) || std::holds_alternative<RenewLease>(call->body))
+  if (std::holds_alternative<GrantLease>(call->body) ||
+      std::holds_alternative<RenewLease>(call->body))
     return Urgency::renewal;
   return std::holds_alternative<PushCommands>(call->body) ? Urgency::worker : Urgency::other;
 }
 
-// A whole page of the state service or of the cloud's list, with room to spare. What peers say is as long as that at most,
-// too: it names machines, and with the protocol's limit for others controllers of 5,000 machines did not hear each other.
-size_t reply_limit(const store::Settings& s) { return static_cast<size_t>(s.memory_mb * 1024 * 1024 / 14); }
+// A whole page of the state service or of the cloud's list, with room to spare. What peers say is
+// as long as that at most, too: it names machines, and with the protocol's limit for others
+// controllers of 5,000 machines did not hear each other.
+size_t reply_limit(const store::Settings& s) {
+  return static_cast<size_t>(s.memory_mb * 1024 * 1024 / 14);
+}
 }  // namespace
 
 ControllerServer::ControllerServer(EventLoop& event_loop, const store::Settings& settings,
-                                   const store::OperatorSettings& operators, LogLine::Level log_level)
+                                   const store::OperatorSettings& operators,
+                                   LogLine::Level log_level)
     : event_loop_(event_loop),
       core_(
           settings, operators,
@@ -71,13 +77,14 @@
       client_(event_loop, share_of(settings, kClientShare), reply_limit(settings)),
       load_every_s_(settings.heartbeat_interval_s) {
   const double idle_s = settings.lease_s * 8;
-  job_service_ =
-      std::make_unique<HttpServer>(event_loop, parse_address(settings.listen),
-                                   HttpServer::Limits{share_of(settings, kServerShare), protocol::kBodyLimit, idle_s},
-                                   [this](ExchangeId id, HttpMessage&& m) { from_users(id, std::move(m)); });
-  peers_ = std::make_unique<HttpServer>(event_loop, parse_address(settings.peer_listen),
-                                        HttpServer::Limits{share_of(settings, kPeerShare), reply_limit(settings), idle_s},
-                                        [this](ExchangeId id, HttpMessage&& m) { from_peers(id, std::move(m)); });
+  job_service_ = std::make_unique<HttpServer>(
+      event_loop, parse_address(settings.listen),
+      HttpServer::Limits{share_of(settings, kServerShare), protocol::kBodyLimit, idle_s},
+      [this](ExchangeId id, HttpMessage&& m) { from_users(id, std::move(m)); });
+  peers_ = std::make_unique<HttpServer>(
+      event_loop, parse_address(settings.peer_listen),
+      HttpServer::Limits{share_of(settings, kPeerShare), reply_limit(settings), idle_s},
+      [this](ExchangeId id, HttpMessage&& m) { from_peers(id, std::move(m)); });
   event_loop_.each_turn([this] { turn(); });
   commands_.push_back(Tick{});
   turn();
@@ -129,12 +136,14 @@
 
 void ControllerServer::turn() {
   if (commands_.empty()) return;
-  // Read after the commands, not before: the time that a worker is answered counts from a report that was sent before
-  // this reading, however long it took to read and decode what has come.
+  // Read after the commands, not before: the time that a worker is answered counts from a report
+  // that was sent before this reading, however long it took to read and decode what has come.
   event_loop_.refresh_clock();
-  const auto wall = std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+  const auto wall =
+      std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
   auto effects = core_.handle(commands_, Clock{event_loop_.now(), wall, process_load()});
-  std::stable_sort(effects.begin(), effects.end(), [](const Effect& a, const Effect& b) { return urgency(a) < urgency(b); });
+  std::stable_sort(effects.begin(), effects.end(),
+                   [](const Effect& a, const Effect& b) { return urgency(a) < urgency(b); });
   for (auto& effect : effects) carry_out(std::move(effect));
   arm_wakeup();
 }
@@ -142,11 +151,21 @@
 void ControllerServer::carry_out(Effect&& effect) {
   struct Out {
     ControllerServer& node;
-    void operator()(const AnswerUser& a) { node.answer(*node.job_service_, a.request, protocol::encode(a)); }
-    void operator()(const AnswerHeartbeat& a) { node.answer(*node.job_service_, a.request, protocol::encode(a)); }
-    void operator()(const AnswerStats& a) { node.answer(*node.job_service_, a.request, protocol::encode(a)); }
-    void operator()(const AnswerForwardedHeartbeat& a) { node.answer(*node.peers_, a.request, protocol::encode(a)); }
-    void operator()(const AnswerPeer& a) { node.answer(*node.peers_, a.request, protocol::encode(a)); }
+    void operator()(const AnswerUser& a) {
+      node.answer(*node.job_service_, a.request, protocol::encode(a));
+    }
+    void operator()(const AnswerHeartbeat& a) {
+      node.answer(*node.job_service_, a.request, protocol::encode(a));
+    }
+    void operator()(const AnswerStats& a) {
+      node.answer(*node.job_service_, a.request, protocol::encode(a));
+    }
+    void operator()(const AnswerForwardedHeartbeat& a) {
+      node.answer(*node.peers_, a.request, protocol::encode(a));
+    }
+    void operator()(const AnswerPeer& a) {
+      node.answer(*node.peers_, a.request, protocol::encode(a));
+    }
     void operator()(const Call& c) { node.call(c); }
     void operator()(const LogLine& l) {
       switch (l.level) {
@@ -163,7 +182,8 @@
   const auto http = protocol::encode(c);
   const auto kind = c.body.index();
   const auto* read = std::get_if<ReadKey>(&c.body);
-  auto done = [this, id = c.id, kind, key = read ? read->key : std::string()](int status, std::string&& body) {
+  auto done = [this, id = c.id, kind, key = read ? read->key : std::string()](int status,
+                                                                              std::string&& body) {
     commands_.push_back(protocol::decode_reply(id, kind, key, status, body));
   };
   Address to;
@@ -175,7 +195,8 @@
     event_loop_.after(0, [done]() mutable { done(0, {}); });
     return;
   }
-  client_.request(to, http.method, http.target, http.body, http.content_type, c.timeout_s, std::move(done));
+  client_.request(to, http.method, http.target, http.body, http.content_type, c.timeout_s,
+                  std::move(done));
 }
 
 }  // namespace rushtrestle::transport
--- a/src/transport/controller_server.h
+++ b/src/transport/controller_server.h
@@ -14,7 +14,8 @@
 
 class ControllerServer {
  public:
-  ControllerServer(EventLoop& event_loop, const store::Settings& settings, const store::OperatorSettings& operators,
+  ControllerServer(EventLoop& event_loop, const store::Settings& settings,
+                   const store::OperatorSettings& operators,
                    coordination::LogLine::Level log_level);
 
  private:
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -60,16 +60,19 @@
   due_.erase(it);
 }
 
-// An event of a socket that was closed in this turn, or of an earlier one with the same number, is passed over.
+// An event of a socket that was closed in this turn, or of an earlier one with the same number, is
+// passed over.
 void EventLoop::serve(epoll_event* events, size_t count) {
   const auto watched = [this](const epoll_event& event) -> Watched* {
     const auto it = fds_.find(static_cast<int>(event.data.u64 & 0xffffffffU));
-    return it == fds_.end() || it->second.generation != event.data.u64 >> 32 ? nullptr : &it->second;
+    return it == fds_.end() || it->second.generation != event.data.u64 >> 32 ? nullptr
+                                                                             : &it->second;
   };
-  epoll_event* const requests = std::stable_partition(events, events + count, [&](const epoll_event& event) {
-    const Watched* w = watched(event);
-    return w && w->priority == Priority::reply;
-  });
+  epoll_event* const requests =
+      std::stable_partition(events, events + count, [&](const epoll_event& event) {
+        const Watched* w = watched(event);
+        return w && w->priority == Priority::reply;
+      });
   epoll_event* const end = std::min(events + count, requests + kMostRequests);
   for (const epoll_event* event = events; event != end; ++event) {
     const Watched* w = watched(*event);
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -42,8 +42,9 @@
   void refresh_clock();
 
  private:
-  /// Sockets asked for and requests served in a turn. With little processor time a long turn keeps renewals of the lease
-  /// waiting, and who lost it loses its parts: what is left is served in the next turn.
+  /// Sockets asked for and requests served in a turn. With little processor time a long turn keeps
+  /// renewals of the lease waiting, and who lost it loses its parts: what is left is served in the
+  /// next turn.
   static constexpr size_t kMostEvents = 256;
   static constexpr size_t kMostRequests = 32;
   void serve(epoll_event* events, size_t count);
--- a/src/transport/http.cpp
+++ b/src/transport/http.cpp
@@ -147,13 +147,15 @@
   auto& self = *static_cast<MessageParser*>(p->data);
   self.started_ = false;
   self.current_.status = static_cast<int>(p->status_code);
-  if (p->type == HTTP_REQUEST) self.current_.method = http_method_str(static_cast<http_method>(p->method));
+  if (p->type == HTTP_REQUEST)
+    self.current_.method = http_method_str(static_cast<http_method>(p->method));
   (*self.sink_)(std::move(self.current_), http_should_keep_alive(p) != 0);
   self.current_ = HttpMessage{};
   return 0;
 }
 
-bool MessageParser::feed(const char* data, size_t size, const std::function<void(HttpMessage&&, bool)>& on_message) {
+bool MessageParser::feed(const char* data, size_t size,
+                         const std::function<void(HttpMessage&&, bool)>& on_message) {
   sink_ = &on_message;
   const size_t used = http_parser_execute(&parser_, &callbacks_, data, size);
   return used == size && parser_.http_errno == HPE_OK && parser_.upgrade == 0;
@@ -161,7 +163,8 @@
 
 bool MessageParser::finish(const std::function<void(HttpMessage&&, bool)>& on_message) {
   sink_ = &on_message;
-  return http_parser_execute(&parser_, &callbacks_, nullptr, 0) == 0 && parser_.http_errno == HPE_OK;
+  return http_parser_execute(&parser_, &callbacks_, nullptr, 0) == 0 &&
+         parser_.http_errno == HPE_OK;
 }
 
 // ---- server ----
@@ -172,13 +175,14 @@
   int one = 1;
   setsockopt(listener_, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
   const sockaddr_in sa = to_sockaddr(at);
-  // All workers of a fleet may come back in one turn of a busy controller: whom the queue has no room for tries again
-  // only seconds later.
+  // All workers of a fleet may come back in one turn of a busy controller: whom the queue has no
+  // room for tries again only seconds later.
   const int waiting = static_cast<int>(std::max(kLeastWaiting, limits.connections));
   if (listener_ < 0 || bind(listener_, reinterpret_cast<const sockaddr*>(&sa), sizeof sa) != 0 ||
       listen(listener_, waiting) != 0)
     throw std::runtime_error("cannot listen on " + text_of(at) + ": " + std::strerror(errno));
-  event_loop_.watch(listener_, EPOLLIN, EventLoop::Priority::request, [this](uint32_t) { accept_all(); });
+  event_loop_.watch(listener_, EPOLLIN, EventLoop::Priority::request,
+                    [this](uint32_t) { accept_all(); });
   sweep();
 }
 
@@ -224,7 +228,8 @@
     c->last_used = event_loop_.now();
     c->age = by_age_.insert(by_age_.end(), fd);
     connections_[fd] = std::move(c);
-    event_loop_.watch(fd, EPOLLIN, EventLoop::Priority::request, [this, fd](uint32_t ev) { on_event(fd, ev); });
+    event_loop_.watch(fd, EPOLLIN, EventLoop::Priority::request,
+                      [this, fd](uint32_t ev) { on_event(fd, ev); });
   }
 }
 
@@ -237,7 +242,8 @@
     if (!connections_.count(fd)) return;
   }
   if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) return;
-  std::array<char, 16384> buffer;  // NOLINT(cppcoreguidelines-pro-type-member-init): clearing it for each read is wasted
+  std::array<char, 16384> buffer;  // NOLINT(cppcoreguidelines-pro-type-member-init): clearing it
+                                   // for each read is wasted
   size_t size = 0;
   switch (receive(fd, buffer, size)) {
     case Got::nothing: return;
@@ -263,15 +269,15 @@
   if (!ok || pipelined || drop_fed_) drop(fd);
 }
 
-void HttpServer::answer(ExchangeId id, int status, const std::string& body, const char* content_type,
-                        const std::string& extra) {
+void HttpServer::answer(ExchangeId id, int status, const std::string& body,
+                        const char* content_type, const std::string& extra) {
   auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   Connection& c = *connections_.at(it->second);
   exchanges_.erase(it);
   c.exchange = 0;
-  c.out +=
-      "HTTP/1.1 " + std::to_string(status) + " " + reason(status) + "\r\nContent-Length: " + std::to_string(body.size());
+  c.out += "HTTP/1.1 " + std::to_string(status) + " " + reason(status) +
+           "\r\nContent-Length: " + std::to_string(body.size());
   if (!body.empty()) c.out += std::string("\r\nContent-Type: ") + content_type;
   if (!c.keep_alive) c.out += "\r\nConnection: close";
   c.out += "\r\n" + extra + "\r\n" + body;
@@ -329,7 +335,8 @@
     // Close the idle connection unused for longest.
     int oldest = -1;
     for (auto& [fd, c] : connections_)
-      if (!c->busy && (oldest < 0 || c->last_used < connections_.at(oldest)->last_used)) oldest = fd;
+      if (!c->busy && (oldest < 0 || c->last_used < connections_.at(oldest)->last_used))
+        oldest = fd;
     if (oldest < 0) return nullptr;
     close_one(oldest);
   }
@@ -345,12 +352,14 @@
   c->writing = true;
   Connection* raw = c.get();
   connections_[fd] = std::move(c);
-  event_loop_.watch(fd, EPOLLIN | EPOLLOUT, EventLoop::Priority::reply, [this, fd](uint32_t ev) { on_event(fd, ev); });
+  event_loop_.watch(fd, EPOLLIN | EPOLLOUT, EventLoop::Priority::reply,
+                    [this, fd](uint32_t ev) { on_event(fd, ev); });
   return raw;
 }
 
-void HttpClient::request(const Address& to, const std::string& method, const std::string& target, const std::string& body,
-                         const char* content_type, double timeout_s, Done done) {
+void HttpClient::request(const Address& to, const std::string& method, const std::string& target,
+                         const std::string& body, const char* content_type, double timeout_s,
+                         Done done) {
   Connection* c = acquire(to);
   if (!c) {
     event_loop_.after(0, [done = std::move(done)] { done(0, {}); });
@@ -360,7 +369,8 @@
   c->done = std::move(done);
   c->out = method + " " + target + " HTTP/1.1\r\nHost: " + text_of(to);
   if (!body.empty() || method == "POST") {
-    c->out += std::string("\r\nContent-Type: ") + content_type + "\r\nContent-Length: " + std::to_string(body.size());
+    c->out += std::string("\r\nContent-Type: ") + content_type +
+              "\r\nContent-Length: " + std::to_string(body.size());
   }
   c->out += "\r\n\r\n" + body;
   c->sent = 0;
@@ -391,7 +401,8 @@
     if (!connections_.count(fd)) return;
   }
   if (!(events & (EPOLLIN | EPOLLHUP | EPOLLERR))) return;
-  std::array<char, 16384> buffer;  // NOLINT(cppcoreguidelines-pro-type-member-init): clearing it for each read is wasted
+  std::array<char, 16384> buffer;  // NOLINT(cppcoreguidelines-pro-type-member-init): clearing it
+                                   // for each read is wasted
   size_t size = 0;
   bool whole = false, keep = true;
   HttpMessage answer;
--- a/src/transport/http.h
+++ b/src/transport/http.h
@@ -38,7 +38,8 @@
  public:
   MessageParser(http_parser_type type, size_t body_limit);
   /// False when the bytes are not HTTP. `on_message` runs per whole message.
-  bool feed(const char* data, size_t size, const std::function<void(HttpMessage&&, bool keep_alive)>& on_message);
+  bool feed(const char* data, size_t size,
+            const std::function<void(HttpMessage&&, bool keep_alive)>& on_message);
   bool finish(const std::function<void(HttpMessage&&, bool)>& on_message);
   bool idle() const { return !started_; }
 
@@ -69,7 +70,8 @@
   HttpServer(EventLoop& event_loop, const Address& at, Limits limits, Handler handler);
   ~HttpServer();
   /// `extra` holds whole header lines. Answers to exchanges that are gone are dropped.
-  void answer(ExchangeId id, int status, const std::string& body, const char* content_type, const std::string& extra = "");
+  void answer(ExchangeId id, int status, const std::string& body, const char* content_type,
+              const std::string& extra = "");
   size_t open_connections() const { return connections_.size(); }
 
  private:
@@ -110,8 +112,8 @@
   HttpClient(EventLoop& event_loop, size_t max_connections, size_t body_limit)
       : event_loop_(event_loop), max_(max_connections), body_limit_(body_limit) {}
   ~HttpClient();
-  void request(const Address& to, const std::string& method, const std::string& target, const std::string& body,
-               const char* content_type, double timeout_s, Done done);
+  void request(const Address& to, const std::string& method, const std::string& target,
+               const std::string& body, const char* content_type, double timeout_s, Done done);
 
  private:
   struct Connection {
@@ -124,7 +126,8 @@
     double last_used = 0;
     Done done;
     EventLoop::TimerId timer = 0;
-    Connection(int f, const Address& a, size_t limit) : fd(f), to(a), parser(HTTP_RESPONSE, limit) {}
+    Connection(int f, const Address& a, size_t limit)
+        : fd(f), to(a), parser(HTTP_RESPONSE, limit) {}
   };
   Connection* acquire(const Address& to);
   void on_event(int fd, uint32_t events);
--- a/tests/best_effort_test.cpp
+++ b/tests/best_effort_test.cpp
@@ -15,7 +15,8 @@
   return {{"red", {64, 16, 0}, {144, 40, 0}}, {"guest", {}, {store::kNoLimit, store::kNoLimit, 0}}};
 }
 
-store::JobSpec array_of(const std::string& id, const std::string& team, uint32_t tasks, double run_s) {
+store::JobSpec array_of(const std::string& id, const std::string& team, uint32_t tasks,
+                        double run_s) {
   store::JobSpec spec;
   spec.id = id;
   spec.job_class = "batch";
@@ -67,7 +68,8 @@
   }
 }
 
-// Idle-time work of guests was given ordinary machines with GPUs, at forty times the price of the cheapest.
+// Idle-time work of guests was given ordinary machines with GPUs, at forty times the price of the
+// cheapest.
 TEST(BestEffort, HaveNoOrdinaryMachineRentedForTheirIdleTimeWork) {
   ClusterSimulation::Options options;
   options.teams = red_and_guest();
@@ -80,7 +82,8 @@
   EXPECT_EQ(ordinary_machines(w), 0U);
 }
 
-// With nothing used of a guarantee of nothing, a guest's queue came first in each pass, and its work filled the spare room.
+// With nothing used of a guarantee of nothing, a guest's queue came first in each pass, and its
+// work filled the spare room.
 TEST(BestEffort, LeaveRoomForWhatIsExpectedOfTheOthers) {
   ClusterSimulation::Options options;
   options.nodes = 1;  // one part: the teams share its machines
@@ -88,7 +91,8 @@
   options.boot_failures = false;
   ClusterSimulation w(options);
   constexpr int kGateways = 20;
-  for (int i = 0; i < kGateways; ++i) w.submit(gateway_of("job-" + std::to_string(100 + i), "red"), 2 + 10 * i);
+  for (int i = 0; i < kGateways; ++i)
+    w.submit(gateway_of("job-" + std::to_string(100 + i), "red"), 2 + 10 * i);
   auto array = array_of("job-1", "guest", 2000, 100);
   array.rank = store::Rank::normal;  // on ordinary machines, too
   w.submit(array, 60);
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -19,7 +19,8 @@
           {"stowS", 4.0},       {"dueS", 900.0},    {"later", Json::object({{"x", 1}})}};
 }
 
-int status_of(const std::string& method, const std::string& target, const std::string& body, bool too_large = false) {
+int status_of(const std::string& method, const std::string& target, const std::string& body,
+              bool too_large = false) {
   const auto d = decode_request(1, method, target, body, too_large);
   const auto* a = std::get_if<HttpAnswer>(&d);
   return a ? a->status : 0;  // 0: became a command
@@ -85,14 +86,19 @@
 }
 
 TEST(Codec, AnswersUsersInTheProtocolsWords) {
-  const auto running = encode(AnswerUser{1, 200, JobView{"job-1", store::JobStatus::open, 3, 13}, 0});
-  EXPECT_EQ(Json::from_cbor(running.body), (Json{{"id", "job-1"}, {"status", "running"}, {"done", 3}, {"running", 13}}));
-  const auto cancelled = encode(AnswerUser{1, 200, JobView{"job-1", store::JobStatus::cancelled, 0, 0}, 0});
+  const auto running =
+      encode(AnswerUser{1, 200, JobView{"job-1", store::JobStatus::open, 3, 13}, 0});
+  EXPECT_EQ(Json::from_cbor(running.body),
+            (Json{{"id", "job-1"}, {"status", "running"}, {"done", 3}, {"running", 13}}));
+  const auto cancelled =
+      encode(AnswerUser{1, 200, JobView{"job-1", store::JobStatus::cancelled, 0, 0}, 0});
   EXPECT_EQ(Json::from_cbor(cancelled.body)["status"], "withdrawn");
-  EXPECT_NE(encode(AnswerUser{1, 503, std::nullopt, 1.2}).headers.find("Retry-After: 2\r\n"), std::string::npos);
+  EXPECT_NE(encode(AnswerUser{1, 503, std::nullopt, 1.2}).headers.find("Retry-After: 2\r\n"),
+            std::string::npos);
   const auto moved = encode(AnswerHeartbeat{1, {421, 0, {}, "trestle-2"}});
   EXPECT_EQ(Json::from_cbor(moved.body)["foreman"], "trestle-2");
-  const auto orders = encode(AnswerHeartbeat{1, {200, 41, {{WorkerVerb::stop, "job-3", 1, 1, 10}}, ""}});
+  const auto orders =
+      encode(AnswerHeartbeat{1, {200, 41, {{WorkerVerb::stop, "job-3", 1, 1, 10}}, ""}});
   EXPECT_EQ(Json::from_cbor(orders.body)["orders"][0],
             (Json{{"verb", "kill"}, {"chore", "job-3/1"}, {"try", 1}, {"leewayS", 10.0}}));
 }
@@ -118,13 +124,17 @@
   ASSERT_EQ(command.heartbeat.tasks.size(), 1u);
   EXPECT_EQ(command.heartbeat.tasks[0].cause, ExitCause::stopped);
   EXPECT_TRUE(command.heartbeat.tasks[0].saved);
-  const auto answer = encode(AnswerForwardedHeartbeat{5, {200, 41, {{WorkerVerb::stop, "job-3", 1, 4, 10}}, ""}});
-  const auto done = decode_reply(1, CallBody(ForwardHeartbeat{}).index(), "", answer.status, answer.body);
+  const auto answer =
+      encode(AnswerForwardedHeartbeat{5, {200, 41, {{WorkerVerb::stop, "job-3", 1, 4, 10}}, ""}});
+  const auto done =
+      decode_reply(1, CallBody(ForwardHeartbeat{}).index(), "", answer.status, answer.body);
   const auto& reply = std::get<HeartbeatResponse>(done.reply);
   EXPECT_EQ(reply.status, 200);
   ASSERT_EQ(reply.commands.size(), 1u);
   EXPECT_EQ(reply.commands[0].grace_s, 10);
-  EXPECT_EQ(std::get<HttpAnswer>(decode_peer_request(5, "POST", "/relay", "{\"machine\":1}")).status, 400);
+  EXPECT_EQ(
+      std::get<HttpAnswer>(decode_peer_request(5, "POST", "/relay", "{\"machine\":1}")).status,
+      400);
 }
 
 PeerState peer_that_hands_over() {
@@ -141,7 +151,8 @@
 
 TEST(Codec, WhatControllersHandOverRoundTrips) {
   const auto answer = encode(AnswerPeer{5, peer_that_hands_over()});
-  const auto done = decode_reply(1, CallBody(SendPeerState{}).index(), "", answer.status, answer.body);
+  const auto done =
+      decode_reply(1, CallBody(SendPeerState{}).index(), "", answer.status, answer.body);
   const auto& got = std::get<PeerState>(done.reply);
   EXPECT_EQ(got.revision, 90u);
   EXPECT_EQ(got.current_age_s, 1.5);
@@ -155,7 +166,8 @@
   EXPECT_EQ(got.offered_cancellations->cancellations[1].mod_revision, 95u);
 }
 
-// A controller of the version before sends none of it; one that sends nonsense is not listened to at all.
+// A controller of the version before sends none of it; one that sends nonsense is not listened to
+// at all.
 TEST(Codec, WhatControllersHandOverMayBeAbsentButNotContradictory) {
   const auto call = encode(Call{1, 1, SendPeerState{"10.0.0.2:8081", peer_that_hands_over()}});
   const auto status_without = [&](const char* pointer, const Json& value) {
@@ -201,10 +213,12 @@
         t.saved = saved;
         return t;
       },
-      rc::gen::arbitrary<uint16_t>(), rc::gen::arbitrary<uint32_t>(), rc::gen::arbitrary<uint64_t>(), rc::gen::inRange(0, 4),
-      rc::gen::inRange(1, 7), rc::gen::arbitrary<bool>());
+      rc::gen::arbitrary<uint16_t>(), rc::gen::arbitrary<uint32_t>(),
+      rc::gen::arbitrary<uint64_t>(), rc::gen::inRange(0, 4), rc::gen::inRange(1, 7),
+      rc::gen::arbitrary<bool>());
   return rc::gen::apply(
-      [](uint64_t agent_epoch, uint64_t sequence, uint64_t fencing_token, std::vector<ReportedTask> tasks) {
+      [](uint64_t agent_epoch, uint64_t sequence, uint64_t fencing_token,
+         std::vector<ReportedTask> tasks) {
         Heartbeat r;
         r.machine = "n-000231";
         r.address = "10.1.0.232:9000";
@@ -216,8 +230,8 @@
         r.tasks = std::move(tasks);
         return r;
       },
-      rc::gen::arbitrary<uint64_t>(), rc::gen::arbitrary<uint64_t>(), rc::gen::arbitrary<uint64_t>(),
-      rc::gen::container<std::vector<ReportedTask>>(task));
+      rc::gen::arbitrary<uint64_t>(), rc::gen::arbitrary<uint64_t>(),
+      rc::gen::arbitrary<uint64_t>(), rc::gen::container<std::vector<ReportedTask>>(task));
 }
 
 Json as_wire(const Heartbeat& r) {
@@ -243,7 +257,8 @@
   RC_ASSERT(parsed.has_value());
   const auto back = decode_heartbeat(*parsed);
   RC_ASSERT(back.has_value());
-  RC_ASSERT(back->agent_epoch == r.agent_epoch && back->sequence == r.sequence && back->fencing_token == r.fencing_token);
+  RC_ASSERT(back->agent_epoch == r.agent_epoch && back->sequence == r.sequence &&
+            back->fencing_token == r.fencing_token);
   RC_ASSERT(as_wire(*back) == as_wire(r));
 }
 
@@ -255,7 +270,8 @@
 
 RC_GTEST_PROP(Codec, NoBytesCrashTheDecoder, (const std::string& bytes)) {
   (void)status_of("POST", "/v1/jobs", bytes);
-  (void)decode_reply(1, *rc::gen::inRange<size_t>(0, std::variant_size_v<CallBody>), "k", 200, bytes);
+  (void)decode_reply(1, *rc::gen::inRange<size_t>(0, std::variant_size_v<CallBody>), "k", 200,
+                     bytes);
   std::string flipped = to_cbor(valid_job());
   flipped[*rc::gen::inRange<size_t>(0, flipped.size())] = *rc::gen::arbitrary<char>();
   const int status = status_of("POST", "/v1/jobs", flipped);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -8,7 +8,8 @@
 namespace rushtrestle::testing {
 namespace {
 
-store::JobSpec spec(const std::string& id, store::JobKind kind, uint32_t tasks, double cpus, double seconds) {
+store::JobSpec spec(const std::string& id, store::JobKind kind, uint32_t tasks, double cpus,
+                    double seconds) {
   store::JobSpec s;
   s.id = id;
   s.job_class = kind == store::JobKind::array ? "batch" : "gateway";
@@ -64,16 +65,18 @@
 TEST(Core, WritesRefusedForTheRateAreNotLost) {
   ClusterSimulation w({});
   w.limit_state(60);
-  for (int i = 0; i < 20; ++i) w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 2, 1, 0), 2 + i);
+  for (int i = 0; i < 20; ++i)
+    w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 2, 1, 0), 2 + i);
   w.run_until(80);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << i;
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// It also showed that a job whose last write had no answer was taken up again from its record, with a task on
-// a machine that had gone meanwhile, and never ended.
+// It also showed that a job whose last write had no answer was taken up again from its record, with
+// a task on a machine that had gone meanwhile, and never ended.
 //
-// One unanswered request among many put a node in doubt: it refused every submission and poll that waited.
+// One unanswered request among many put a node in doubt: it refused every submission and poll that
+// waited.
 TEST(Core, SubmissionsAreTakenWhileTheStateServiceIsSlowNowAndThen) {
   constexpr int kJobs = 100;
   constexpr int kSeeds = 12;
@@ -91,7 +94,8 @@
       w.at(31 + 0.5 * i, [&w, &in_time, id] { in_time += w.accepted(id); });
     }
     w.run_until(160);
-    for (int i = 1; i <= kJobs; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << ", seed " << seed;
+    for (int i = 1; i <= kJobs; ++i)
+      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << ", seed " << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
   }
   EXPECT_GE(in_time, 65 * kSeeds);  // three in four requests are fast
@@ -135,8 +139,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// All controllers restart in an outage, and nobody knows the keys. The fleet lives on if the service is back before
-// its leases lapse.
+// All controllers restart in an outage, and nobody knows the keys. The fleet lives on if the
+// service is back before its leases lapse.
 TEST(Core, AFleetSurvivesAllControllersCrashingNearTheEndOfAnOutage) {
   ClusterSimulation w({});
   w.submit(spec("job-2", store::JobKind::service, 4, 2, 0), 3);
@@ -150,10 +154,11 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// This test demanded before that the fleet live on through 40 s of outage in which all controllers had restarted. That
-// was wrong: one of the dead may have confirmed a cancellation that nobody knows any more, and then its tasks
-// went on for the whole outage. Here one does, and the tasks are gone in time; the price is that all the others'
-// leases lapse, too. As soon as the service is back all that was accepted runs again.
+// This test demanded before that the fleet live on through 40 s of outage in which all controllers
+// had restarted. That was wrong: one of the dead may have confirmed a cancellation that nobody
+// knows any more, and then its tasks went on for the whole outage. Here one does, and the tasks are
+// gone in time; the price is that all the others' leases lapse, too. As soon as the service is back
+// all that was accepted runs again.
 TEST(Core, WhatADeadControllerMayHaveConfirmedGoesBeforeTheFleet) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     ClusterSimulation::Options options;
@@ -177,9 +182,10 @@
   }
 }
 
-// Some of the controllers restart in an outage: what the others know covers the fleet for the blind limit, and a lease
-// comes on top: 23.75 + 14 s. Of that go the age of the last proof (4 s, a watch) and of the last report (2.5 s), and at
-// the end the reading of the model and the workers' tries at each controller (4.6 s); 26 s of outage are survived always.
+// Some of the controllers restart in an outage: what the others know covers the fleet for the blind
+// limit, and a lease comes on top: 23.75 + 14 s. Of that go the age of the last proof (4 s, a
+// watch) and of the last report (2.5 s), and at the end the reading of the model and the workers'
+// tries at each controller (4.6 s); 26 s of outage are survived always.
 TEST(Core, AFleetSurvivesSomeControllersCrashingInAnOutage) {
   for (uint64_t run = 0; run < 40; ++run) {
     const int holder_too = run % 2 == 0 ? 0 : 1;
@@ -198,10 +204,10 @@
   }
 }
 
-// A controller took a part over while a zone's machines could not reach it, and condemned them all at
-// the same instant (incident inc-e85d). They come back when the cut ends: few may be gone by then.
-// Counted before the second few may go, and over many seeds: later on it is luck whether the machines rented in their
-// place are up yet.
+// A controller took a part over while a zone's machines could not reach it, and condemned them all
+// at the same instant (incident inc-e85d). They come back when the cut ends: few may be gone by
+// then. Counted before the second few may go, and over many seeds: later on it is luck whether the
+// machines rented in their place are up yet.
 TEST(Core, ACutToManyMachinesDoesNotSetOffMassDeletion) {
   constexpr size_t kSeeds = 20;
   size_t lost = 0;
@@ -209,7 +215,8 @@
     ClusterSimulation::Options options;
     options.seed = seed;
     ClusterSimulation w(options);
-    for (int i = 0; i < 8; ++i) w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 4, 4, 0), 3);
+    for (int i = 0; i < 8; ++i)
+      w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 4, 4, 0), 3);
     w.run_until(50);
     const size_t before = w.machines_up();
     ASSERT_GE(before, 8u);
@@ -218,10 +225,13 @@
     EXPECT_GE(w.machines_up() + 4, before) << seed;
     lost += before - std::min(before, w.machines_up());
     w.run_until(140);
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << ", seed " << seed;
+    for (int i = 0; i < 8; ++i)
+      EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << ", seed " << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
   }
-  EXPECT_LE(lost * 10, 32 * kSeeds);  // three at a time, and now and then one that is lost anyway; five are cut off
+  EXPECT_LE(
+      lost * 10,
+      32 * kSeeds);  // three at a time, and now and then one that is lost anyway; five are cut off
 }
 
 TEST(Core, ANodeThatAloneLosesTheStateServiceYields) {
@@ -257,8 +267,9 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// Two zones that can't reach each other: workers that the others sent to a holder out of their reach lost
-// their leases, and the holder had them deleted, while all could be reached by a way round (inc-952d).
+// Two zones that can't reach each other: workers that the others sent to a holder out of their
+// reach lost their leases, and the holder had them deleted, while all could be reached by a way
+// round (inc-952d).
 TEST(Core, WorkersThatCannotReachTheirHolderLiveOn) {
   for (const bool hold : {false, true}) {
     ClusterSimulation::Options options;
@@ -280,12 +291,14 @@
   }
 }
 
-// A zone cut off from everything, the holder of its workers' part outside: the controller inside sent them
-// to that holder, and all their tasks were killed by their leases. Now it keeps them, and still every
-// cancellation takes effect in time (which the world checks), told before the cut or in it.
+// A zone cut off from everything, the holder of its workers' part outside: the controller inside
+// sent them to that holder, and all their tasks were killed by their leases. Now it keeps them, and
+// still every cancellation takes effect in time (which the world checks), told before the cut or in
+// it.
 //
-// Now and then a worker's first reports after the cut go to controllers outside for most of its lease, and its tasks are
-// lost all the same: over many seeds a few of all tasks, where it was half of them in each.
+// Now and then a worker's first reports after the cut go to controllers outside for most of its
+// lease, and its tasks are lost all the same: over many seeds a few of all tasks, where it was half
+// of them in each.
 TEST(Core, AZoneCutOffFromEverythingKeepsItsTasks) {
   constexpr uint64_t kSeeds = 15, kWorlds = 2 * kSeeds, kTasks = 10;
   uint64_t started_again = 0, untouched = 0;
@@ -317,10 +330,12 @@
   EXPECT_GE(untouched, kWorlds * 2 / 3);
 }
 
-// For longer than cancellations allow: the leases of its workers lapse before that, by the world's rules.
+// For longer than cancellations allow: the leases of its workers lapse before that, by the world's
+// rules.
 TEST(Core, AZoneCutOffForLongBreaksNoCancellation) {
   ClusterSimulation w({});
-  for (int i = 0; i < 4; ++i) w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 4, 4, 0), 3);
+  for (int i = 0; i < 4; ++i)
+    w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 4, 4, 0), 3);
   w.run_until(40);
   w.cut_zone("b", {2}, 90, true);
   for (int i = 0; i < 3; ++i) w.cancel("job-" + std::to_string(i), 40.1 + i);
@@ -329,8 +344,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// The holder stands still for longer than every lease: others take its part over, and what it does when it
-// wakes, with what had come to it meanwhile, is fenced.
+// The holder stands still for longer than every lease: others take its part over, and what it does
+// when it wakes, with what had come to it meanwhile, is fenced.
 TEST(Core, AControllerFrozenForLongerThanEveryLeaseBreaksNothing) {
   for (const double for_s : {3.0, 10.0, 60.0}) {
     ClusterSimulation w({});
@@ -367,7 +382,8 @@
   w.run_until(40);
   w.sick_machine(0, 300);
   w.sick_machine(1, 300);
-  for (int i = 3; i < 9; ++i) w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 2, 2, 5), 41);
+  for (int i = 3; i < 9; ++i)
+    w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 2, 2, 5), 41);
   w.run_until(140);
   for (int i = 3; i < 9; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
   EXPECT_TRUE(w.broken.empty()) << first(w);
@@ -397,8 +413,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// Each new placement is conditioned on its machine, and a transaction takes 32 conditions: a task on each of
-// 40 machines was refused as malformed, and its job set aside, for good.
+// Each new placement is conditioned on its machine, and a transaction takes 32 conditions: a task
+// on each of 40 machines was refused as malformed, and its job set aside, for good.
 TEST(Core, AnArrayThatNeedsManyMachinesStarts) {
   ClusterSimulation::Options options;
   options.boot_failures = false;
@@ -420,13 +436,15 @@
 
 TEST(Core, ATeamNeverExceedsItsLimit) {
   ClusterSimulation w({});
-  for (int i = 1; i <= 30; ++i) w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 10, 4, 6), 3 + i * 0.1);
+  for (int i = 1; i <= 30; ++i)
+    w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 10, 4, 6), 3 + i * 0.1);
   w.run_until(400);
   for (int i = 1; i <= 30; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// A worker that reports a gang's state for an array's task, or attempts that nobody gave, changes nothing.
+// A worker that reports a gang's state for an array's task, or attempts that nobody gave, changes
+// nothing.
 TEST(Core, NonsenseOfAWorkerChangesNothing) {
   ClusterSimulation w({});
   w.submit(spec("job-1", store::JobKind::array, 3, 2, 20), 3);
@@ -442,7 +460,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// All tasks of a gang or a service together have to fit into the team's limit; a job that is known is never refused.
+// All tasks of a gang or a service together have to fit into the team's limit; a job that is known
+// is never refused.
 TEST(Core, WhatNeedsMoreThanItsTeamsLimitIsRefused) {
   struct Case {
     store::JobKind kind = store::JobKind::array;
@@ -452,10 +471,14 @@
   };
   // A team's limit is 144 CPUs and 40 GPUs; a machine has 32 CPUs and 4 GPUs at most.
   const Case cases[] = {
-      {store::JobKind::gang, 9, {16, 0, 1}, true},      {store::JobKind::gang, 10, {16, 0, 1}, false},
-      {store::JobKind::gang, 10, {2, 4, 1}, true},      {store::JobKind::gang, 11, {2, 4, 1}, false},
-      {store::JobKind::gang, 1, {32, 4, 1}, true},      {store::JobKind::gang, 1, {33, 0, 1}, false},
-      {store::JobKind::service, 10, {16, 0, 1}, false}, {store::JobKind::array, 10, {16, 0, 1}, true},
+      {store::JobKind::gang, 9, {16, 0, 1}, true},
+      {store::JobKind::gang, 10, {16, 0, 1}, false},
+      {store::JobKind::gang, 10, {2, 4, 1}, true},
+      {store::JobKind::gang, 11, {2, 4, 1}, false},
+      {store::JobKind::gang, 1, {32, 4, 1}, true},
+      {store::JobKind::gang, 1, {33, 0, 1}, false},
+      {store::JobKind::service, 10, {16, 0, 1}, false},
+      {store::JobKind::array, 10, {16, 0, 1}, true},
   };
   ClusterSimulation w({});
   w.run_until(5);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,5 +1,5 @@
-// The JSON form in which the tests pass commands and effects between today's code and earlier versions of it: no field may
-// fall out of it unseen.
+// The JSON form in which the tests pass commands and effects between today's code and earlier
+// versions of it: no field may fall out of it unseen.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -50,7 +50,8 @@
       std::visit([this](auto& alternative) { fill(alternative); }, value);
     } else {
       describe(*this, value);
-      if constexpr (std::same_as<T, CancellationOffer>) value.mark.count = value.from + value.cancellations.size();
+      if constexpr (std::same_as<T, CancellationOffer>)
+        value.mark.count = value.from + value.cancellations.size();
     }
   }
 
@@ -94,8 +95,10 @@
   return inner.is_object() ? inner : value;
 }
 
-/// Every field that the earlier version writes stands in ours, with the same value; lists have the same length.
-void expect_contained(const Json& earlier_value, const Json& current_value, const std::string& path) {
+/// Every field that the earlier version writes stands in ours, with the same value; lists have the
+/// same length.
+void expect_contained(const Json& earlier_value, const Json& current_value,
+                      const std::string& path) {
   const Json earlier = opened(earlier_value);
   const Json current = opened(current_value);
   if (earlier.is_object() && current.is_object()) {
@@ -105,7 +108,8 @@
     }
   } else if (earlier.is_array() && current.is_array()) {
     RC_ASSERT(earlier.size() == current.size());
-    for (size_t i = 0; i < earlier.size(); ++i) expect_contained(earlier[i], current[i], path + "/" + std::to_string(i));
+    for (size_t i = 0; i < earlier.size(); ++i)
+      expect_contained(earlier[i], current[i], path + "/" + std::to_string(i));
   } else {
     RC_LOG() << path << ": " << earlier << " / " << current << '\n';
     RC_ASSERT(earlier == current);
@@ -126,14 +130,18 @@
 
 RC_GTEST_PROP(Exchange, CommandsReachEarlierVersionsWhole, (uint64_t seed)) {
   const Json commands = every_kind_of<Command>(seed);
-  expect_contained(previous_versions::commit_9fefab8().rewrite_commands(commands), commands, "9fefab8");
-  expect_contained(previous_versions::commit_a244c51().rewrite_commands(commands), commands, "a244c51");
+  expect_contained(previous_versions::commit_9fefab8().rewrite_commands(commands), commands,
+                   "9fefab8");
+  expect_contained(previous_versions::commit_a244c51().rewrite_commands(commands), commands,
+                   "a244c51");
 }
 
 RC_GTEST_PROP(Exchange, EffectsReachEarlierVersionsWhole, (uint64_t seed)) {
   const Json effects = every_kind_of<Effect>(seed);
-  expect_contained(previous_versions::commit_9fefab8().rewrite_effects(effects), effects, "9fefab8");
-  expect_contained(previous_versions::commit_a244c51().rewrite_effects(effects), effects, "a244c51");
+  expect_contained(previous_versions::commit_9fefab8().rewrite_effects(effects), effects,
+                   "9fefab8");
+  expect_contained(previous_versions::commit_a244c51().rewrite_effects(effects), effects,
+                   "a244c51");
 }
 
 }  // namespace
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -48,7 +48,8 @@
       std::snprintf(key, sizeof key, "machine/n-%06d", i);
       const auto* record = w.stored(key);
       if (!record) break;
-      if (record->at("phase") == static_cast<int>(store::MachinePhase::marked_for_deletion)) condemned.insert(key);
+      if (record->at("phase") == static_cast<int>(store::MachinePhase::marked_for_deletion))
+        condemned.insert(key);
     }
   }
   return condemned;
@@ -73,10 +74,12 @@
   for (int i = 0; i < 12; ++i) w.submit(array_of("job-" + std::to_string(30 + i), 2), 21 + 8 * i);
   EXPECT_TRUE(condemned_until(w, 230).empty());
   EXPECT_TRUE(w.broken.empty());
-  for (int i = 0; i < 12; ++i) EXPECT_EQ(w.told("job-" + std::to_string(30 + i)).value_or(""), "done") << i;
+  for (int i = 0; i < 12; ++i)
+    EXPECT_EQ(w.told("job-" + std::to_string(30 + i)).value_or(""), "done") << i;
   for (int i = 0; i < kBroken; ++i) {
     EXPECT_EQ(w.told("job-" + std::to_string(10 + i)).value_or(""), "cancelled");
-    EXPECT_LE(w.starts_of("job-" + std::to_string(10 + i)), 40U);  // with all twelve tasks tried each time: a hundred
+    EXPECT_LE(w.starts_of("job-" + std::to_string(10 + i)),
+              40U);  // with all twelve tasks tried each time: a hundred
   }
 }
 
@@ -89,7 +92,8 @@
   for (int i = 0; i < 8; ++i) w.submit(array_of("job-" + std::to_string(10 + i), 3), 26 + 5 * i);
   EXPECT_FALSE(condemned_until(w, 120).empty());
   EXPECT_TRUE(w.broken.empty());
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(w.told("job-" + std::to_string(10 + i)).value_or(""), "done") << i;
+  for (int i = 0; i < 8; ++i)
+    EXPECT_EQ(w.told("job-" + std::to_string(10 + i)).value_or(""), "done") << i;
 }
 
 }  // namespace
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -20,7 +20,8 @@
   for (int i = 0; i < kJobs; ++i) {
     const double at = 2 + static_cast<double>(rng() % 100);
     w.submit(random_job(i, rng), at);
-    if (rng() % 4 == 0) w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
+    if (rng() % 4 == 0)
+      w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
   }
   for (const auto& t : schedule) w.at(t.at, [&w, t] { play(w, t); });
   w.run_until(330);
