--- a/tests/frozen_formats_test.cpp
+++ b/tests/frozen_formats_test.cpp
@@ -1,7 +1,8 @@
-// What must never change, since users, workers and earlier versions read and write it: paths, field names and bytes of each
-// message and stored record, keys, settings, and the keys of `/stats`. Compared with tests/golden/frozen_formats.json, which
-// was written by the sources at b25747b. A difference is a broken promise, not a reason to write the file anew; only a new
-// message or field is added to it: `WRITE_FROZEN_FORMATS=FILE rushtrestle_tests --gtest_filter=FrozenFormats.*`.
+// What must never change, since users, workers and earlier versions read and write it: paths, field
+// names and bytes of each message and stored record, keys, settings, and the keys of `/stats`.
+// Compared with tests/golden/frozen_formats.json, which was written by the sources at b25747b. A
+// difference is a broken promise, not a reason to write the file anew; only a new message or field
+// is added to it: `WRITE_FROZEN_FORMATS=FILE rushtrestle_tests --gtest_filter=FrozenFormats.*`.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -85,7 +86,16 @@
 }
 
 store::MachineRecord machine_record() {
-  return {"n-000001", "10.1.0.1:9000", "g8", "north", true, 2, 1, true, store::MachinePhase::reassignment_requested, 990.5};
+  return {"n-000001",
+          "10.1.0.1:9000",
+          "g8",
+          "north",
+          true,
+          2,
+          1,
+          true,
+          store::MachinePhase::reassignment_requested,
+          990.5};
 }
 
 Heartbeat worker_report() {
@@ -114,7 +124,8 @@
   s.revision = 77;
   s.current_age_s = 0.5;
   s.acknowledged = CancellationPosition{"node-0.3", 5};
-  s.offered_cancellations = CancellationOffer{{"node-1.7", 4}, 2, true, {{"job-000412", 70}, {"job-000413", 71}}};
+  s.offered_cancellations =
+      CancellationOffer{{"node-1.7", 4}, 2, true, {{"job-000412", 70}, {"job-000413", 71}}};
   s.version = "0.2.0";
   s.record_format = 1;
   s.budget_need = 0.25;
@@ -123,7 +134,9 @@
 
 Json calls() {
   const Txn txn{{{"job/job-000412", 12}, {"part/2", 3}},
-                {{"job/job-000412", Json{{"a", 1}}, 0}, {"part/2", Json{{"b", 2}}, 9}, {"leader", std::nullopt, 0}}};
+                {{"job/job-000412", Json{{"a", 1}}, 0},
+                 {"part/2", Json{{"b", 2}}, 9},
+                 {"leader", std::nullopt, 0}}};
   const std::vector<std::pair<const char*, CallBody>> all = {
       {"txn", txn},
       {"read_key", ReadKey{"job/a b"}},
@@ -157,26 +170,31 @@
   out["worker"] = form_of(protocol::encode(AnswerHeartbeat{1, {200, 42, worker_commands(), ""}}));
   out["worker_sent_on"] = form_of(protocol::encode(AnswerHeartbeat{1, {421, 0, {}, "node-2"}}));
   out["worker_not_now"] = form_of(protocol::encode(AnswerHeartbeat{1, {}}));
-  out["relayed"] = form_of(protocol::encode(AnswerForwardedHeartbeat{1, {200, 42, worker_commands(), ""}}));
+  out["relayed"] =
+      form_of(protocol::encode(AnswerForwardedHeartbeat{1, {200, 42, worker_commands(), ""}}));
   out["peer"] = form_of(protocol::encode(AnswerPeer{1, peer_state()}));
   out["stats"] = form_of(protocol::encode(AnswerStats{1, {{"a", 1}}}));
   return out;
 }
 
 Json job_message() {
-  return {{"id", "job-000412"}, {"berth", "train"},  {"crew", "vision"}, {"sort", "group"},
-          {"rank", "urgent"},   {"chores", 16},      {"cores", 8.0},     {"cards", 1.0},
-          {"memoryGb", 64.0},   {"bundle", "i-7"},   {"imageGb", 6.2},   {"breeds", Json::array({"g8"})},
-          {"yard", "north"},    {"oneZone", true},   {"scatter", true},  {"loaners", true},
-          {"guessS", 240.0},    {"snapshotS", 30.0}, {"stowS", 4.0},     {"dueS", 900.0}};
+  return {{"id", "job-000412"}, {"berth", "train"}, {"crew", "vision"},
+          {"sort", "group"},    {"rank", "urgent"}, {"chores", 16},
+          {"cores", 8.0},       {"cards", 1.0},     {"memoryGb", 64.0},
+          {"bundle", "i-7"},    {"imageGb", 6.2},   {"breeds", Json::array({"g8"})},
+          {"yard", "north"},    {"oneZone", true},  {"scatter", true},
+          {"loaners", true},    {"guessS", 240.0},  {"snapshotS", 30.0},
+          {"stowS", 4.0},       {"dueS", 900.0}};
 }
 
 Json report_message() {
   Json chores = Json::array();
   for (const char* status : {"pulling", "gathering", "running", "saving"})
     chores.push_back({{"chore", "job-000412/3"}, {"try", 6}, {"status", status}, {"kept", true}});
-  for (const char* cause : {"done", "stopped", "full", "in_use", "no_such", "peers", "incomplete", "error", "other"})
-    chores.push_back({{"chore", "job-000413/0"}, {"try", 1}, {"status", "ended"}, {"cause", cause}});
+  for (const char* cause :
+       {"done", "stopped", "full", "in_use", "no_such", "peers", "incomplete", "error", "other"})
+    chores.push_back(
+        {{"chore", "job-000413/0"}, {"try", 1}, {"status", "ended"}, {"cause", cause}});
   return {{"rig", "n-000001"}, {"addr", "10.1.0.1:9000"},
           {"breed", "g8"},     {"yard", "north"},
           {"loaners", true},   {"shift", 3},
@@ -206,7 +224,8 @@
   const auto too_large = protocol::decode_request(1, "POST", "/v1/jobs", job, true);
   out["submit_too_large"] = form_of(too_large);
   const std::string status = protocol::encode(AnswerPeer{0, peer_state()}).body;
-  const std::string forwarded = protocol::encode(Call{0, 0, ForwardHeartbeat{"", worker_report()}}).body;
+  const std::string forwarded =
+      protocol::encode(Call{0, 0, ForwardHeartbeat{"", worker_report()}}).body;
   out["peer"] = form_of(protocol::decode_peer_request(1, "POST", "/peer", status));
   out["relay"] = form_of(protocol::decode_peer_request(1, "POST", "/relay", forwarded));
   out["peer_malformed"] = form_of(protocol::decode_peer_request(1, "POST", "/peer", "{}"));
@@ -216,26 +235,33 @@
 Json replies() {
   const auto decoded = [](const CallBody& call, int status, const Json& body) {
     const auto kind = call.index();
-    return exchange::save(protocol::decode_reply(1, kind, "job/job-1", status, protocol::to_cbor(body)));
+    return exchange::save(
+        protocol::decode_reply(1, kind, "job/job-1", status, protocol::to_cbor(body)));
   };
-  const Json machine = {{"id", "n-1"},     {"addr", "10.1.0.1:9"}, {"breed", "g8"}, {"yard", "north"},
-                        {"loaners", true}, {"status", "booting"},  {"ageS", 4.0}};
-  const Json type = {
-      {"sku", "g8"},       {"cores", 64.0},  {"cards", 8.0},    {"memoryGb", 512.0}, {"localGb", 600.0},
-      {"pullGbPerS", 4.6}, {"hourly", 24.5}, {"lowPrice", 9.0}, {"readyS", 40.0},    {"yards", Json::array({"north"})}};
+  const Json machine = {{"id", "n-1"},     {"addr", "10.1.0.1:9"}, {"breed", "g8"},
+                        {"yard", "north"}, {"loaners", true},      {"status", "booting"},
+                        {"ageS", 4.0}};
+  const Json type = {{"sku", "g8"},      {"cores", 64.0},
+                     {"cards", 8.0},     {"memoryGb", 512.0},
+                     {"localGb", 600.0}, {"pullGbPerS", 4.6},
+                     {"hourly", 24.5},   {"lowPrice", 9.0},
+                     {"readyS", 40.0},   {"yards", Json::array({"north"})}};
   Json out;
   out["txn"] = decoded(Txn{}, 200, {{"epoch", 9}});
   out["txn_conflict"] = decoded(Txn{}, 409, {{"epoch", 9}, {"failed", Json::array({"job/job-1"})}});
   out["read_key"] = decoded(ReadKey{}, 200, {{"v", {{"a", 1}}}, {"stamp", 5}});
   out["read_key_absent"] = decoded(ReadKey{}, 404, {{"epoch", 9}});
-  out["read_page"] = decoded(
-      ListKeys{}, 200,
-      {{"entries", Json::array({{{"k", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}}})}, {"hasNext", true}, {"epoch", 9}});
+  out["read_page"] =
+      decoded(ListKeys{}, 200,
+              {{"entries", Json::array({{{"k", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}}})},
+               {"hasNext", true},
+               {"epoch", 9}});
   out["lease"] = decoded(GrantLease{}, 200, {{"tenancy", 4}});
-  out["watch"] = decoded(Watch{}, 200,
-                         {{"epoch", 9},
-                          {"log", Json::array({{{"put", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}},
-                                               {{"delete", "part/1"}, {"stamp", 6}}})}});
+  out["watch"] =
+      decoded(Watch{}, 200,
+              {{"epoch", 9},
+               {"log", Json::array({{{"put", "job/job-1"}, {"v", {{"a", 1}}}, {"stamp", 5}},
+                                    {{"delete", "part/1"}, {"stamp", 6}}})}});
   out["types"] = decoded(ListMachineTypes{}, 200, {{"breeds", Json::array({type})}});
   out["rent"] = decoded(ProvisionMachines{}, 200, {{"rigs", Json::array({"n-1", "n-2"})}});
   out["list"] = decoded(ListMachines{}, 200, {{"rigs", Json::array({machine})}, {"hasNext", true}});
@@ -253,8 +279,9 @@
   out["machine_plain"] = to_json(store::machine_record_from_json(to_json(store::MachineRecord{})));
   out["holder"] = to_json(store::LeaseHolderRecord{"node-1", "node-1.7"});
   out["types"] = to_json(std::vector<store::MachineType>{type});
-  out["keys"] = {store::job_key("job-1"), store::cancel_key("job-1"), store::machine_key("n-1"), store::shard_key(2),
-                 store::leader_key,       store::types_key,           store::format_key};
+  out["keys"] = {store::job_key("job-1"), store::cancel_key("job-1"), store::machine_key("n-1"),
+                 store::shard_key(2),     store::leader_key,          store::types_key,
+                 store::format_key};
   out["record_format"] = store::kRecordFormat;
   out["read_again"] = {to_json(store::job_record_from_json(to_json(job_record()))),
                        to_json(store::machine_record_from_json(to_json(machine_record())))};
@@ -330,7 +357,8 @@
   const store::Settings platform = protocol::read_settings(path);
   std::remove(path.c_str());
   return {{"platform", exchange::save(platform)},
-          {"operators", exchange::save(protocol::parse_operator_settings(kOperatorSettings, platform))}};
+          {"operators",
+           exchange::save(protocol::parse_operator_settings(kOperatorSettings, platform))}};
 }
 
 /// The paths of all keys; names of controllers are the same in each run.
@@ -358,9 +386,11 @@
 }
 
 TEST(FrozenFormats, AreThoseOfTheRecordedSources) {
-  const Json now = {{"calls", calls()},     {"answers", answers()},   {"requests", requests()},    {"replies", replies()},
-                    {"records", records()}, {"settings", settings()}, {"stats_keys", stats_keys()}};
-  if (const char* file = std::getenv("WRITE_FROZEN_FORMATS")) std::ofstream(file) << now.dump(1) << '\n';
+  const Json now = {{"calls", calls()},          {"answers", answers()}, {"requests", requests()},
+                    {"replies", replies()},      {"records", records()}, {"settings", settings()},
+                    {"stats_keys", stats_keys()}};
+  if (const char* file = std::getenv("WRITE_FROZEN_FORMATS"))
+    std::ofstream(file) << now.dump(1) << '\n';
   std::ifstream in(FROZEN_FORMATS_FILE);
   ASSERT_TRUE(in) << FROZEN_FORMATS_FILE;
   const Json recorded = Json::parse(in);
--- a/tests/gang_lifecycle_test.cpp
+++ b/tests/gang_lifecycle_test.cpp
@@ -14,12 +14,15 @@
   r.spec.tasks = tasks;
   r.spec.save_s = 3;
   r.attempts = 1;
-  for (uint32_t t = 0; t < tasks; ++t) r.placed.push_back({t, "n-" + std::to_string(t), 1, false, false});
+  for (uint32_t t = 0; t < tasks; ++t)
+    r.placed.push_back({t, "n-" + std::to_string(t), 1, false, false});
   return r;
 }
 
 /// As another controller reads it.
-store::JobRecord reread(const store::JobRecord& r) { return store::job_record_from_json(to_json(r)); }
+store::JobRecord reread(const store::JobRecord& r) {
+  return store::job_record_from_json(to_json(r));
+}
 
 TEST(GangLifecycle, FollowsFromTheRecord) {
   auto r = gang_record(3);
@@ -61,8 +64,8 @@
   }
 }
 
-// Whatever order of events: once a member has run or ended, the attempt never gathers again, nor for whoever
-// reads the record.
+// Whatever order of events: once a member has run or ended, the attempt never gathers again, nor
+// for whoever reads the record.
 RC_GTEST_PROP(GangLifecycle, AnAttemptNeverGoesBack, (const std::vector<uint8_t>& events)) {
   auto r = gang_record(4);
   GangPhase last = gang_phase(r);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -30,7 +30,8 @@
 TEST(Gangs, RunWholeAndAreRentedForWhole) {
   ClusterSimulation w({});
   w.submit(gang("job-1", 4, 2, 10), 3);
-  w.submit(gang("job-2", 8, 12, 10), 3);  // more than any machine has, and than one zone has small ones
+  w.submit(gang("job-2", 8, 12, 10),
+           3);  // more than any machine has, and than one zone has small ones
   auto apart = gang("job-3", 3, 4, 10);
   apart.one_zone = false;
   apart.checkpoint_s = apart.save_s = 0;
@@ -44,8 +45,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// A member's machine dies while the gang runs: the others end by themselves, and the next attempt begins, from the
-// last checkpoint, when all the old ones are known to be gone.
+// A member's machine dies while the gang runs: the others end by themselves, and the next attempt
+// begins, from the last checkpoint, when all the old ones are known to be gone.
 TEST(Gangs, GoOnFromTheirCheckpointWhenAMemberIsLost) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     ClusterSimulation::Options options;
@@ -97,7 +98,8 @@
       w.submit(filler, 2);
     }
     w.run_until(30);
-    w.submit(gang("job-1", 3, 6, 10), 30);  // zone a has 6 of 16 free thrice, b has room for two a machine
+    w.submit(gang("job-1", 3, 6, 10),
+             30);  // zone a has 6 of 16 free thrice, b has room for two a machine
     w.submit(gang("job-2", 2, 14, 10), 31);
     w.run_until(110);
     EXPECT_EQ(w.told("job-1"), "done") << seed;
@@ -106,7 +108,8 @@
   }
 }
 
-// The state service's limits fall without notice, in the middle of things: large arrays and gangs go on.
+// The state service's limits fall without notice, in the middle of things: large arrays and gangs
+// go on.
 TEST(Gangs, AndLargeArraysGoOnWhenTheLimitsOfTheStateServiceFall) {
   for (const double falls_at : {12.0, 25.0, 33.0}) {
     ClusterSimulation::Options options;
@@ -121,13 +124,15 @@
     w.at(falls_at, [&w] { w.lower_state_limits(); });
     w.at(falls_at + 1, [&w] { w.kill_node(1, 5); });
     w.run_until(240);
-    for (int i = 1; i < 8; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " falls at " << falls_at;
+    for (int i = 1; i < 8; ++i)
+      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " falls at " << falls_at;
     EXPECT_TRUE(w.broken.empty()) << first(w);
   }
 }
 
-// A record written by the version before, up to the old limit, is too large to be written again until enough of its
-// tasks have ended: their ends are noticed again after each refusal, within the budget.
+// A record written by the version before, up to the old limit, is too large to be written again
+// until enough of its tasks have ended: their ends are noticed again after each refusal, within the
+// budget.
 TEST(Gangs, ARecordStoredUnderALargerLimitIsFinished) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     ClusterSimulation::Options options;
@@ -152,8 +157,8 @@
   }
 }
 
-// A little room is left on many machines and a lot on two. A transaction takes conditions for 14 machines; the best fit
-// would take more.
+// A little room is left on many machines and a lot on two. A transaction takes conditions for 14
+// machines; the best fit would take more.
 TEST(Gangs, GoOnFewMachinesWhereATransactionTakesNoMoreConditions) {
   ClusterSimulation::Options options;
   options.next_limits = std::make_pair(4.0, 4);
@@ -176,8 +181,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// One machine in zone a has room for a member, and the cloud has no more there, but enough in zone b: the gang is rented for
-// whole in b, though the room in a is better for its first task.
+// One machine in zone a has room for a member, and the cloud has no more there, but enough in zone
+// b: the gang is rented for whole in b, though the room in a is better for its first task.
 TEST(Gangs, AreRentedForInTheZoneThatCanTakeThemWhole) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     ClusterSimulation::Options options;
@@ -202,8 +207,8 @@
   }
 }
 
-// Small jobs that take each piece of room as it comes free would keep a large gang waiting for ever. How long it waits is
-// bound, and the small ones go on after it.
+// Small jobs that take each piece of room as it comes free would keep a large gang waiting for
+// ever. How long it waits is bound, and the small ones go on after it.
 TEST(Gangs, ALargeOneIsNotStarvedByAStreamOfSmallJobs) {
   for (uint64_t seed = 1; seed <= 3; ++seed) {
     ClusterSimulation::Options options;
@@ -223,12 +228,14 @@
     w.run_until(20 + 120 + 60);
     EXPECT_EQ(w.told("job-1"), "done") << seed;
     w.run_until(330);
-    for (int i = 2; i < kStream; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " seed " << seed;
+    for (int i = 2; i < kStream; ++i)
+      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " seed " << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w);
   }
 }
 
-// Each limit falls at a generated moment, alone or with the others, amid restarts and lost machines.
+// Each limit falls at a generated moment, alone or with the others, amid restarts and lost
+// machines.
 RC_GTEST_PROP(Gangs, LimitsThatFallAtAnyMomentLoseNothing, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto falls = *rc::gen::inRange(3, 120);
@@ -282,7 +289,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// A member lost before the start is replaced under the same attempt, well before the others give up waiting.
+// A member lost before the start is replaced under the same attempt, well before the others give up
+// waiting.
 TEST(Gangs, TakeANewMemberForOneThatIsLostBeforeTheStart) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     ClusterSimulation::Options options;
@@ -324,8 +332,9 @@
   EXPECT_EQ(in_order, 6);
 }
 
-// A member fails while the others still gather, and the controller that saw it ends: the next one must not take the
-// attempt for one that lost a member, or it adds members that wait for gang_wait_s in vain.
+// A member fails while the others still gather, and the controller that saw it ends: the next one
+// must not take the attempt for one that lost a member, or it adds members that wait for
+// gang_wait_s in vain.
 TEST(Gangs, ANewOwnerAddsNobodyToAnAttemptThatIsOver) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     ClusterSimulation::Options options;
@@ -343,13 +352,14 @@
     w.kill_owner_of("job-1", 8);
     w.run_until(w.now() + 90);
     EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_LE(w.starts_in_attempt("job-1", 1), 4u) << "a member joined an attempt that was over, seed " << seed;
+    EXPECT_LE(w.starts_in_attempt("job-1", 1), 4u)
+        << "a member joined an attempt that was over, seed " << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w);
   }
 }
 
-// A machine dies at the very moment of the start, before any report told of it: the member is not replaced in an attempt
-// that runs, and nobody is left waiting.
+// A machine dies at the very moment of the start, before any report told of it: the member is not
+// replaced in an attempt that runs, and nobody is left waiting.
 TEST(Gangs, AMemberLostAtTheMomentOfTheStartIsNotReplaced) {
   for (uint64_t seed = 1; seed <= 12; ++seed) {
     ClusterSimulation::Options options;
@@ -361,13 +371,15 @@
     while (w.now() < 60 && w.running("job-1") < 4) w.run_until(w.now() + 0.01);
     w.kill_machine_of("job-1");
     w.run_until(w.now() + 100);
-    EXPECT_EQ(w.starts_in_attempt("job-1", 1), 4u) << "a replacement in an attempt that ran, seed " << seed;
+    EXPECT_EQ(w.starts_in_attempt("job-1", 1), 4u)
+        << "a replacement in an attempt that ran, seed " << seed;
     EXPECT_EQ(w.told("job-1"), "done") << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w);
   }
 }
 
-// The others would notice by themselves only after gang_peer_s: once the loss is known they are stopped, and go on sooner.
+// The others would notice by themselves only after gang_peer_s: once the loss is known they are
+// stopped, and go on sooner.
 TEST(Gangs, WhatALostMemberLeavesRunningIsStopped) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
     ClusterSimulation::Options options;
@@ -385,8 +397,8 @@
   }
 }
 
-// The same, and the other member's machine is cut off at that moment: nobody knows that the gang runs when the dead
-// machine is given up.
+// The same, and the other member's machine is cut off at that moment: nobody knows that the gang
+// runs when the dead machine is given up.
 TEST(Gangs, NobodyJoinsWhileAMemberIsNotHeard) {
   for (uint64_t seed = 1; seed <= 40; ++seed) {
     ClusterSimulation::Options options;
@@ -399,7 +411,8 @@
     w.cut_machine_of("job-1", 1, 8);
     w.kill_machine_of("job-1");
     w.run_until(w.now() + 120);
-    EXPECT_EQ(w.starts_in_attempt("job-1", 1), 2u) << "a replacement in an attempt that ran, seed " << seed;
+    EXPECT_EQ(w.starts_in_attempt("job-1", 1), 2u)
+        << "a replacement in an attempt that ran, seed " << seed;
     EXPECT_EQ(w.told("job-1"), "done") << seed;
     EXPECT_TRUE(w.broken.empty()) << first(w);
   }
@@ -416,8 +429,9 @@
   return s;
 }
 
-// Random gangs beside arrays and services, under random troubles of which some strike at a gang's steps: a machine of a gang
-// that gathers dies, is taken with a notice or fails tasks, and the controller that looks after the gang ends.
+// Random gangs beside arrays and services, under random troubles of which some strike at a gang's
+// steps: a machine of a gang that gathers dies, is taken with a notice or fails tasks, and the
+// controller that looks after the gang ends.
 RC_GTEST_PROP(Gangs, NoScheduleOfTroublesBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto schedule = *rc::gen::resize(5, rc::gen::container<std::vector<Fault>>(faults()));
@@ -431,7 +445,8 @@
   for (int i = 0; i < kJobs; ++i) {
     const double at = 2 + static_cast<double>(rng() % 90);
     w.submit(i % 4 ? random_gang(i, rng) : random_job(i, rng), at);
-    if (rng() % 6 == 0) w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
+    if (rng() % 6 == 0)
+      w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
   }
   for (const auto& t : schedule) w.at(t.at, [&w, t] { play(w, t); });
   for (const auto& t : strikes) {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -17,7 +17,8 @@
   std::vector<HttpMessage> messages;
   bool ok = true;
   bool feed(MessageParser& p, const std::string& bytes) {
-    ok = ok && p.feed(bytes.data(), bytes.size(), [this](HttpMessage&& m, bool) { messages.push_back(std::move(m)); });
+    ok = ok && p.feed(bytes.data(), bytes.size(),
+                      [this](HttpMessage&& m, bool) { messages.push_back(std::move(m)); });
     return ok;
   }
 };
@@ -34,7 +35,8 @@
   return text + "0\r\n\r\n";
 }
 
-RC_GTEST_PROP(Http, AMessageSplitAnywhereIsTheSameMessage, (const std::string& body, bool chunked)) {
+RC_GTEST_PROP(Http, AMessageSplitAnywhereIsTheSameMessage,
+              (const std::string& body, bool chunked)) {
   const std::string bytes = request(body, chunked);
   for (size_t at = 0; at <= bytes.size(); ++at) {
     MessageParser parser(HTTP_REQUEST, size_t{64} * 1024);
@@ -43,7 +45,8 @@
     seen.feed(parser, bytes.substr(at));
     RC_ASSERT(seen.ok);
     RC_ASSERT(seen.messages.size() == 1u);
-    RC_ASSERT(seen.messages[0].method == "POST" && seen.messages[0].target == "/v1/jobs" && seen.messages[0].body == body);
+    RC_ASSERT(seen.messages[0].method == "POST" && seen.messages[0].target == "/v1/jobs" &&
+              seen.messages[0].body == body);
   }
 }
 
@@ -67,13 +70,15 @@
   MessageParser parser(HTTP_REQUEST, 10);
   Seen seen;
   std::string bytes = "GET /up HTTP/1.1\r\n";
-  for (int i = 0; i < 1000; ++i) bytes += "X-" + std::to_string(i) + ": " + std::string(20, 'y') + "\r\n";
+  for (int i = 0; i < 1000; ++i)
+    bytes += "X-" + std::to_string(i) + ": " + std::string(20, 'y') + "\r\n";
   EXPECT_FALSE(seen.feed(parser, bytes));
 }
 
 TEST(Http, AddressesAreCheckedInFull) {
   EXPECT_EQ(parse_address("127.0.0.1:8080").port, 8080);
-  for (const char* bad : {"", "localhost:1", "1.2.3.4", "1.2.3.4:", "1.2.3.4:0", "1.2.3.4:70000", "1.2.3.4:8x"})
+  for (const char* bad :
+       {"", "localhost:1", "1.2.3.4", "1.2.3.4:", "1.2.3.4:0", "1.2.3.4:70000", "1.2.3.4:8x"})
     EXPECT_THROW(parse_address(bad), std::invalid_argument) << bad;
 }
 
@@ -127,13 +132,14 @@
   server.answer(hanging[0], 200, "late", "text/plain");  // its connection may be gone: no crash
 }
 
-// With room for 256 of them the other workers of a fleet that came back in one turn waited seconds for their next try.
+// With room for 256 of them the other workers of a fleet that came back in one turn waited seconds
+// for their next try.
 TEST(Http, AWholeFleetMayConnectBetweenTwoTurns) {
   EventLoop event_loop;
   const uint16_t port = free_port();
   constexpr size_t kWorkers = 600;
-  HttpServer server(event_loop, parse_address("127.0.0.1:" + std::to_string(port)), {kWorkers, 1024, 60},
-                    [](ExchangeId, HttpMessage&&) {});
+  HttpServer server(event_loop, parse_address("127.0.0.1:" + std::to_string(port)),
+                    {kWorkers, 1024, 60}, [](ExchangeId, HttpMessage&&) {});
   std::vector<pollfd> workers;
   for (size_t i = 0; i < kWorkers; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
@@ -146,7 +152,8 @@
     ASSERT_TRUE(connected == 0 || errno == EINPROGRESS);
     workers.push_back({fd, POLLOUT, 0});
   }
-  EXPECT_EQ(poll(workers.data(), workers.size(), 0), static_cast<int>(kWorkers));  // the loop has not run
+  EXPECT_EQ(poll(workers.data(), workers.size(), 0),
+            static_cast<int>(kWorkers));  // the loop has not run
   for (const auto& worker : workers) close(worker.fd);
 }
 
--- a/tests/list_and_watch_test.cpp
+++ b/tests/list_and_watch_test.cpp
@@ -25,7 +25,8 @@
     state_store_.set_weight(1);
   }
 
-  /// Lets `seconds` pass; `before_page` runs before each page is read and says whether it is answered.
+  /// Lets `seconds` pass; `before_page` runs before each page is read and says whether it is
+  /// answered.
   void run(double seconds, const std::function<bool()>& before_page) {
     const double until = context_.now + seconds;
     for (; context_.now < until; context_.now += kStep) {
@@ -100,7 +101,9 @@
   return to_json(r);
 }
 
-std::string machine_name(int number) { return store::machine_key("n-" + std::to_string(100000 + number)); }
+std::string machine_name(int number) {
+  return store::machine_key("n-" + std::to_string(100000 + number));
+}
 
 constexpr int kMachines = 4000;
 constexpr size_t kChangesKept = 10000;  // by the protocol
@@ -113,14 +116,16 @@
   return service;
 }
 
-// While all keys of a large fleet were read, more changes happened than the service keeps: the first watch was answered
-// with 410, the keys were read again, and so on for as long as the fleet was busy.
+// While all keys of a large fleet were read, more changes happened than the service keeps: the
+// first watch was answered with 410, the keys were read again, and so on for as long as the fleet
+// was busy.
 TEST(ListAndWatch, MoreChangesThanAreKeptDuringTheReadDontBeginItAnew) {
   FakeStateStore service = service_with_machines();
   ListingClient state_store(service);
   int changed = 0;
   const auto busy = [&] {
-    for (int i = 0; i < 700; ++i, ++changed) service.preset(machine_name(changed % kMachines), machine_value(changed + 1));
+    for (int i = 0; i < 700; ++i, ++changed)
+      service.preset(machine_name(changed % kMachines), machine_value(changed + 1));
     return true;
   };
   state_store.run(8, busy);
@@ -145,8 +150,8 @@
   EXPECT_LE(state_store.pages(), 26u);
 }
 
-// Keys vanish with their lease. Where the changes that tell of it are kept no more, the next read of all keys shows it by
-// their absence; what it passed before they were there is no absence.
+// Keys vanish with their lease. Where the changes that tell of it are kept no more, the next read
+// of all keys shows it by their absence; what it passed before they were there is no absence.
 TEST(ListAndWatch, LeasedKeysThatVanishedUnseenAreNotHeldToBeThere) {
   FakeStateStore service = service_with_machines();
   ListingClient state_store(service);
@@ -167,7 +172,8 @@
   ASSERT_TRUE(state_store.state_store().synced());
   ASSERT_TRUE(held(1));
   service.expire_leases(100);
-  for (size_t i = 0; i <= kChangesKept; ++i) service.preset(machine_name(0), machine_value(static_cast<int>(i)));
+  for (size_t i = 0; i <= kChangesKept; ++i)
+    service.preset(machine_name(0), machine_value(static_cast<int>(i)));
   state_store.run(5, answered);
   ASSERT_TRUE(state_store.state_store().synced());
   EXPECT_FALSE(held(1));
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -28,9 +28,10 @@
 constexpr int kConfirmer = 2;  // by name the leader of the cloud
 constexpr int kFollower = 0;
 
-// The state service refuses the holder alone, another controller confirms cancellations, and then the service
-// is away for all, for longer than cancel_s, while workers report to the holder: as all said that they lacked
-// the service, the holder answered on, and knew of none of them ("gap": tasks ran for 54 s).
+// The state service refuses the holder alone, another controller confirms cancellations, and then
+// the service is away for all, for longer than cancel_s, while workers report to the holder: as all
+// said that they lacked the service, the holder answered on, and knew of none of them ("gap": tasks
+// ran for 54 s).
 class Gap {
  public:
   static constexpr double kRefusedAt = 40;
@@ -42,7 +43,8 @@
     world.submit(service("job-stays", 4, 2), 3);
     world.run_until(kRefusedAt);
     world.refuse_state(kHolder, outage_after_s + 2);
-    for (int i = 0; i < kJobs; ++i) world.cancel("job-" + std::to_string(i), outage_at - 2 + 0.4 * i, kConfirmer);
+    for (int i = 0; i < kJobs; ++i)
+      world.cancel("job-" + std::to_string(i), outage_at - 2 + 0.4 * i, kConfirmer);
     world.at(outage_at, [this] { world.state_outage(kOutage); });
   }
   static constexpr double kOutage = 60;  // cancel_s is 39
@@ -80,15 +82,17 @@
   }
 }
 
-// Only one controller knows of a cancellation, and it ends with the beginning of the outage before any other heard
-// of it: back with an empty memory it says that it lacks the state service, as all do. Not handed over is not known.
+// Only one controller knows of a cancellation, and it ends with the beginning of the outage before
+// any other heard of it: back with an empty memory it says that it lacks the state service, as all
+// do. Not handed over is not known.
 TEST(OverlappingFaults, WhatOnlyADeadControllerKnewIsStoppedInTime) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     for (const double back_after : {0.2, 5.0}) {
       Gap gap(seed, 3);
       ClusterSimulation& w = gap.world;
       w.at(gap.outage_at - 0.6, [&w] { w.refuse_state(kFollower, 5); });
-      for (const int n : {kHolder, kFollower}) w.cut("node-" + std::to_string(n), "node-2", 2.2, false);
+      for (const int n : {kHolder, kFollower})
+        w.cut("node-" + std::to_string(n), "node-2", 2.2, false);
       w.at(gap.outage_at + 0.1, [&w, back_after] { w.kill_node(kConfirmer, back_after); });
       w.run_until(gap.outage_at + 1);
       EXPECT_TRUE(w.cancel_told("job-4")) << "seed " << seed;
@@ -99,11 +103,12 @@
   }
 }
 
-// Beside a controller of the version before, which hands nothing over, the blind limit stays in force: what it may
-// have confirmed is stopped in time, and the fleet comes back after the outage.
+// Beside a controller of the version before, which hands nothing over, the blind limit stays in
+// force: what it may have confirmed is stopped in time, and the fleet comes back after the outage.
 TEST(OverlappingFaults, AControllerOfTheVersionBeforeIsTakenForOneThatKnowsMore) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    for (const auto& before : {std::set<int>{kConfirmer}, std::set<int>{kFollower}, std::set<int>{kFollower, kConfirmer}}) {
+    for (const auto& before : {std::set<int>{kConfirmer}, std::set<int>{kFollower},
+                               std::set<int>{kFollower, kConfirmer}}) {
       Gap gap(seed, 2, before);
       ClusterSimulation& w = gap.world;
       w.run_until(gap.outage_at + Gap::kOutage + 60);
@@ -113,7 +118,8 @@
   }
 }
 
-// The neighbours of the meeting above, with troubles that keep what was confirmed from reaching the holder.
+// The neighbours of the meeting above, with troubles that keep what was confirmed from reaching the
+// holder.
 RC_GTEST_PROP(OverlappingFaults, NoNeighbourOfTheGapBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   Gap gap(seed, *rc::gen::inRange(0, 200) / 10.0);
@@ -130,7 +136,8 @@
         for (int n = 0; n < 3; ++n) w.kill_node(n, quick ? 0.3 : 5);
         break;
       case 3:
-        for (const int n : {kFollower, kConfirmer}) w.cut("node-" + std::to_string(n), "node-1", 80, quick);
+        for (const int n : {kFollower, kConfirmer})
+          w.cut("node-" + std::to_string(n), "node-1", 80, quick);
         break;
       case 4: w.hang_machine(which, quick ? 10 : 30); break;
       case 5: w.cut_machine(which, 70, quick, true); break;   // deaf
@@ -139,16 +146,19 @@
       default: w.freeze_node(kHolder, quick ? 3 : 20); break;
     }
   });
-  // Users of every job ask every node around that time: a node may only have followed what it tells.
+  // Users of every job ask every node around that time: a node may only have followed what it
+  // tells.
   for (int i = 0; i < Gap::kJobs; ++i)
-    for (int n = 0; n < 3; ++n) w.ask("job-" + std::to_string(i), gap.outage_at - 1.9 + 0.4 * i + 0.1 * n, n);
+    for (int n = 0; n < 3; ++n)
+      w.ask("job-" + std::to_string(i), gap.outage_at - 1.9 + 0.4 * i + 0.1 * n, n);
   w.run_until(gap.outage_at + Gap::kOutage + 60);
   for (const auto& b : w.broken) RC_LOG() << b << "\n";
   RC_ASSERT(w.broken.empty());
   RC_ASSERT(w.running("job-stays") == 4u);
 }
 
-store::JobSpec array(const std::string& id, const std::string& team, uint32_t tasks, double seconds) {
+store::JobSpec array(const std::string& id, const std::string& team, uint32_t tasks,
+                     double seconds) {
   store::JobSpec s = service(id, tasks, 2);
   s.team = team;
   s.job_class = "batch";
@@ -180,20 +190,23 @@
     RC_ASSERT(w.accepted(j.id));
     if (w.called_off_by_user(j.id)) continue;
     const auto* record = w.stored("job/" + j.id);
-    RC_LOG() << j.id << " told " << w.told(j.id).value_or("nothing") << " " << record->dump() << "\n";
-    const bool served = j.kind == store::JobKind::service ? w.running(j.id) == j.tasks : w.told(j.id) == "done";
+    RC_LOG() << j.id << " told " << w.told(j.id).value_or("nothing") << " " << record->dump()
+             << "\n";
+    const bool served =
+        j.kind == store::JobKind::service ? w.running(j.id) == j.tasks : w.told(j.id) == "done";
     RC_ASSERT(served);
   }
 }
 
-// Users ask at all nodes within milliseconds after each answer, repeat submissions and call off at once, while
-// answers of the state service are lost or late: no node answers something older.
+// Users ask at all nodes within milliseconds after each answer, repeat submissions and call off at
+// once, while answers of the state service are lost or late: no node answers something older.
 RC_GTEST_PROP(OverlappingFaults, CloseLooksNeverSeeAnythingOlder, ()) {
   ClusterSimulation w(seeded());
   w.close_looks(100);
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 24; ++i) {
-    jobs.push_back(i % 4 ? array(name(i), i % 2 ? "red" : "blue", 1 + i % 3, 4 + i % 7) : service(name(i), 2, 2));
+    jobs.push_back(i % 4 ? array(name(i), i % 2 ? "red" : "blue", 1 + i % 3, 4 + i % 7)
+                         : service(name(i), 2, 2));
     const double at = 3 + *rc::gen::inRange(0, 500) / 10.0;
     w.submit(jobs.back(), at);
     if (i % 5 == 0) w.cancel(name(i), at + 0.02);
@@ -208,9 +221,9 @@
   expect_all_served(w, jobs);
 }
 
-// Each team's limit is full; jobs are called off whose machines hang, are cut off or don't hear, with starts under
-// way to them, the holder and the leader end, and reports of before reach the new ones: what may still run there
-// holds its quota until it is known to be gone.
+// Each team's limit is full; jobs are called off whose machines hang, are cut off or don't hear,
+// with starts under way to them, the holder and the leader end, and reports of before reach the new
+// ones: what may still run there holds its quota until it is known to be gone.
 RC_GTEST_PROP(OverlappingFaults, AFullTeamStaysWithinItsLimitThroughCancellationsAndTakeovers, ()) {
   auto options = seeded();
   options.teams = {{"red", {16, 0, 0}, {24, 8, 0}}, {"blue", {16, 0, 0}, {24, 8, 0}}};
@@ -250,7 +263,8 @@
   ClusterSimulation w(seeded());
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 30; ++i) {
-    jobs.push_back(i % 3 ? service(name(i), 1 + i % 2, 2) : array(name(i), i % 2 ? "red" : "blue", 2, 120));
+    jobs.push_back(i % 3 ? service(name(i), 1 + i % 2, 2)
+                         : array(name(i), i % 2 ? "red" : "blue", 2, 120));
     w.submit(jobs.back(), 3 + 0.1 * i);
   }
   const double back_after = *rc::gen::element(0.1, 0.8, 5.0, 20.0);
@@ -264,7 +278,8 @@
   });
   std::vector<int> called_off;
   for (int i = 0; i < 24; ++i) {
-    // Around the take-over, and around the handing back, 1.5 worker leases after the home is steady again.
+    // Around the take-over, and around the handing back, 1.5 worker leases after the home is steady
+    // again.
     const double at = i < 12 ? 39.5 + 0.7 * i : 40 + back_after + 20 + 0.5 * (i - 12);
     w.cancel(name(i), at);
     called_off.push_back(i);
@@ -280,8 +295,9 @@
   expect_all_served(w, jobs);
 }
 
-// Machines that are up within two seconds get work at once, while writes lag and the leader ends: nothing
-// starts on a machine without a record, none is lost, and none is rented for good without work.
+// Machines that are up within two seconds get work at once, while writes lag and the leader ends:
+// nothing starts on a machine without a record, none is lost, and none is rented for good without
+// work.
 RC_GTEST_PROP(OverlappingFaults, MachinesUpAtOnceWhileWritesLagAndTheLeaderEnds, ()) {
   auto options = seeded();
   options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 1.3, {"a", "b"}},
@@ -294,7 +310,8 @@
   }
   const bool at_once = *rc::gen::arbitrary<bool>();
   w.at(4, [&w, at_once] { w.unanswered_writes(25, 0.5, at_once); });
-  for (int k = 0; k < 3; ++k) w.at(5 + *rc::gen::inRange(0, 60) / 10.0 + 7 * k, [&w] { w.kill_node(2, 0.5); });
+  for (int k = 0; k < 3; ++k)
+    w.at(5 + *rc::gen::inRange(0, 60) / 10.0 + 7 * k, [&w] { w.kill_node(2, 0.5); });
   w.run_until(200);
   expect_no_rule_broken(w);
   expect_all_served(w, jobs);
@@ -306,11 +323,11 @@
   RC_ASSERT(w.machines_up() == 0u);
 }
 
-// A placement's write has no answer and is not there when it is looked up; its tasks are placed anew, elsewhere and
-// with the same attempt numbers; then the first write is carried out after all. The record had the attempt, but on
-// another machine: that was taken for the placement made last, and both were started. Or the first is carried out just
-// before the second leaves, the second has no answer either, and the first is taken up and started: then the second is
-// carried out over it.
+// A placement's write has no answer and is not there when it is looked up; its tasks are placed
+// anew, elsewhere and with the same attempt numbers; then the first write is carried out after all.
+// The record had the attempt, but on another machine: that was taken for the placement made last,
+// and both were started. Or the first is carried out just before the second leaves, the second has
+// no answer either, and the first is taken up and started: then the second is carried out over it.
 TEST(OverlappingFaults, APlacementCarriedOutLateIsNotTakenForTheOneAfterIt) {
   for (uint64_t seed = 1; seed <= 120; ++seed) {
     ClusterSimulation::Options options;
@@ -318,7 +335,8 @@
     options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 1.3, {"a", "b"}}};
     ClusterSimulation w(options);
     // Room comes bit by bit, and a later placement finds another machine best.
-    for (int i = 0; i < 24; ++i) w.submit(array(name(i), i % 2 ? "red" : "blue", 1 + i % 4, 4 + i % 5), 3 + 0.7 * i);
+    for (int i = 0; i < 24; ++i)
+      w.submit(array(name(i), i % 2 ? "red" : "blue", 1 + i % 4, 4 + i % 5), 3 + 0.7 * i);
     w.at(5, [&w] { w.unanswered_writes(25, 0.6, false); });
     w.run_until(120);
     EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
@@ -326,12 +344,14 @@
   }
 }
 
-// Reports of long ago, from earlier sessions and attempts too, reach every controller just as a new one begins.
+// Reports of long ago, from earlier sessions and attempts too, reach every controller just as a new
+// one begins.
 RC_GTEST_PROP(OverlappingFaults, OldReportsThatMeetANewHolderChangeNothing, ()) {
   ClusterSimulation w(seeded());
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 16; ++i) {
-    jobs.push_back(i % 2 ? service(name(i), 2, 2) : array(name(i), i % 4 ? "red" : "blue", 3, 6 + 2 * i));
+    jobs.push_back(i % 2 ? service(name(i), 2, 2)
+                         : array(name(i), i % 4 ? "red" : "blue", 3, 6 + 2 * i));
     w.submit(jobs.back(), 3 + i);
     if (i % 5 == 0) w.cancel(name(i), 25 + i);
   }
@@ -348,8 +368,8 @@
   expect_all_served(w, jobs);
 }
 
-// Commands reach it, its reports reach nobody: its lease ended again and again, and the same tasks were started
-// there again and again; what takes longer than a lease was never done.
+// Commands reach it, its reports reach nobody: its lease ended again and again, and the same tasks
+// were started there again and again; what takes longer than a lease was never done.
 TEST(OverlappingFaults, AMachineThatReachesNoControllerIsReplaced) {
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     ClusterSimulation::Options options;
@@ -366,7 +386,8 @@
   }
 }
 
-// One-task jobs come four a second for minutes, a quarter of them called off, with 20 writes a second for all.
+// One-task jobs come four a second for minutes, a quarter of them called off, with 20 writes a
+// second for all.
 TEST(OverlappingFaults, AStreamOfSmallJobsIsServedWithinTheBudgetOfWrites) {
   ClusterSimulation w({});
   constexpr int kPerSecond = 4, kJobs = 120 * kPerSecond;
@@ -381,7 +402,8 @@
          [&w, &not_taken_at_once, i] { not_taken_at_once += !w.accepted(name(i)); });
   for (int i = 0; i < kJobs; ++i)
     if (i % 4 != 0)
-      w.at(5 + i / static_cast<double>(kPerSecond) + 45, [&w, &late, i] { late += w.told(name(i)) != "done"; });
+      w.at(5 + i / static_cast<double>(kPerSecond) + 45,
+           [&w, &late, i] { late += w.told(name(i)) != "done"; });
   w.run_until(220);
   for (int i = 0; i < kJobs; ++i) {
     ASSERT_TRUE(w.accepted(name(i))) << i;
@@ -394,7 +416,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// The rest of the list. Each plays over the same work; what it does to the world is all that differs.
+// The rest of the list. Each plays over the same work; what it does to the world is all that
+// differs.
 struct Meeting {
   const char* what;
   std::function<void(ClusterSimulation&, std::mt19937_64&)> play;
@@ -410,7 +433,9 @@
       {"jobs of two or three tasks end far apart across a change of leader",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 4; ++k)
-           w.at(30 + 14 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] { w.kill_node(n, quick ? 0.2 : 6); });
+           w.at(30 + 14 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] {
+             w.kill_node(n, quick ? 0.2 : 6);
+           });
        },
        4.0},
       {"all controllers are away for longer than a lease",
@@ -428,7 +453,9 @@
       {"leaders change ten times in two minutes, also inside an outage",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 10; ++k)
-           w.at(30 + 11 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] { w.kill_node(n, quick ? 0.2 : 5); });
+           w.at(30 + 11 * k, [&w, n = static_cast<int>(rng() % 3), quick = rng() % 2] {
+             w.kill_node(n, quick ? 0.2 : 5);
+           });
          w.at(55, [&w] { w.state_outage(25); });
          w.at(52, [&w] { w.cancel_some_now(2, 0); });
        }},
@@ -451,7 +478,9 @@
       {"a report is held back until a new leader has acted",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (size_t m = 0; m < 3; ++m)
-           w.at(30, [&w, m, for_s = 6 + static_cast<double>(rng() % 20)] { w.cut_machine(m, for_s, true, false); });
+           w.at(30, [&w, m, for_s = 6 + static_cast<double>(rng() % 20)] {
+             w.cut_machine(m, for_s, true, false);
+           });
          w.at(30.5, [&w] { w.kill_node(1, 5); });
          w.at(32, [&w] { w.cancel_some_now(3, 0); });
        }},
@@ -463,12 +492,14 @@
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          for (int k = 0; k < 8; ++k) {
            const double for_s = 1 + static_cast<double>(rng() % 10);
-           w.at(20 + 5 * k,
-                [&w, m = rng() % 8, for_s, k] { k % 2 ? w.hang_machine(m, for_s) : w.cut_machine(m, for_s, true, true); });
+           w.at(20 + 5 * k, [&w, m = rng() % 8, for_s, k] {
+             k % 2 ? w.hang_machine(m, for_s) : w.cut_machine(m, for_s, true, true);
+           });
          }
          w.at(40, [&w] { w.cancel_some_now(4, 5); });
        }},
-      {"a leader ends while machines with long tasks can't be reached or don't hear the new one's answer",
+      {"a leader ends while machines with long tasks can't be reached or don't hear the new one's "
+       "answer",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          const double for_s = 10 + static_cast<double>(rng() % 30);
          w.at(33, [&w, for_s] {
@@ -486,7 +517,8 @@
 TEST(OverlappingFaults, EveryOtherOneOfTheList) {
   const char* only = std::getenv("MEETING_SEED");
   for (const auto& meeting : other_meetings()) {
-    for (uint64_t seed = only ? std::stoull(only) : 1, last = only ? seed : 6; seed <= last; ++seed) {
+    for (uint64_t seed = only ? std::stoull(only) : 1, last = only ? seed : 6; seed <= last;
+         ++seed) {
       SCOPED_TRACE(std::string(meeting.what) + ", seed " + std::to_string(seed));
       std::mt19937_64 rng(seed);
       ClusterSimulation::Options options;
@@ -496,7 +528,8 @@
       std::vector<store::JobSpec> jobs;
       for (int i = 0; i < 14; ++i) {
         const bool is_service = i % 3 == 0;
-        jobs.push_back(is_service ? service(name(i), 2, 2) : array(name(i), i % 2 ? "red" : "blue", 2 + i % 2, 5 + i));
+        jobs.push_back(is_service ? service(name(i), 2, 2)
+                                  : array(name(i), i % 2 ? "red" : "blue", 2 + i % 2, 5 + i));
         if (i % 4 == 1 && !is_service) jobs.back().one_zone = true;
         if (i % 5 == 2) {
           jobs.back().checkpoint_s = 4;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -20,7 +20,8 @@
   return s;
 }
 
-Slot slot(const std::string& id, const store::MachineType& t, const std::string& zone, bool spot = false) {
+Slot slot(const std::string& id, const store::MachineType& t, const std::string& zone,
+          bool spot = false) {
   return {id, &t, &zone, spot, t.size, true};
 }
 
@@ -33,7 +34,8 @@
   EXPECT_EQ(select_slot(task(2, 0), {}, slots, {0, &images, nullptr})->machine, "m2");
 }
 
-// A fetch of half a second lost to a fuller machine, and the start came after its objective of one second.
+// A fetch of half a second lost to a fuller machine, and the start came after its objective of one
+// second.
 TEST(Placement, AFetchThatMakesAStartLateOutweighsPacking) {
   ImageCaches images;
   images.used("m2", "i", 2, 50);
@@ -53,7 +55,8 @@
 
 TEST(Placement, TheTightestObjectiveSaysWhenATaskShouldRun) {
   store::Settings settings;
-  settings.objectives = {{"wait", "chat", 18, 0.9}, {"up", "chat", 1, 0.9}, {"guarantee", "", 5, 0.9}};
+  settings.objectives = {
+      {"wait", "chat", 18, 0.9}, {"up", "chat", 1, 0.9}, {"guarantee", "", 5, 0.9}};
   auto t = task(1, 0);
   t.job_class = "chat";
   EXPECT_DOUBLE_EQ(start_within_s(t, settings), 5);
@@ -104,7 +107,8 @@
   std::vector<Slot> slots;
   const int n = *rc::gen::inRange(1, 6);
   for (int i = 0; i < n; ++i) {
-    slots.push_back(slot("m" + std::to_string(i), cpu_type, *rc::gen::arbitrary<bool>() ? zone_a : zone_b));
+    slots.push_back(
+        slot("m" + std::to_string(i), cpu_type, *rc::gen::arbitrary<bool>() ? zone_a : zone_b));
     slots.back().free.cpus = *rc::gen::inRange(0, 16);
   }
   ZoneCounts zones;
@@ -122,7 +126,8 @@
 TEST(Placement, PackTakesAsFewMachinesAsCanBe) {
   std::vector<Slot> slots;
   slots.reserve(6);
-  for (int i = 0; i < 6; ++i) slots.push_back(slot("m" + std::to_string(i), cpu_type, i < 4 ? zone_a : zone_b));
+  for (int i = 0; i < 6; ++i)
+    slots.push_back(slot("m" + std::to_string(i), cpu_type, i < 4 ? zone_a : zone_b));
   slots[1].free.cpus = 3;
   const auto machines = [](const auto& room) {
     std::set<std::string> out;
@@ -132,7 +137,8 @@
   auto job = task(2, 0);  // 8 to an empty machine of 16 CPUs, 1 to m1
   EXPECT_EQ(machines(bin_pack(job, 16, slots, {})).size(), 2u);
   EXPECT_EQ(bin_pack(job, 16, slots, {}).size(), 16u);
-  EXPECT_EQ(machines(bin_pack(job, 9, slots, {"m0", "m2", "m3", "m4"})), (std::set<std::string>{"m5", "m1"}));
+  EXPECT_EQ(machines(bin_pack(job, 9, slots, {"m0", "m2", "m3", "m4"})),
+            (std::set<std::string>{"m5", "m1"}));
   job.zone = zone_b;
   EXPECT_EQ(machines(bin_pack(job, 10, slots, {})), (std::set<std::string>{"m4", "m5"}));
   EXPECT_TRUE(bin_pack(job, 17, slots, {}).empty()) << "two machines take 16";
--- a/tests/requeue_test.cpp
+++ b/tests/requeue_test.cpp
@@ -45,7 +45,8 @@
 }
 
 TEST(Requeue, JobsWithoutAValidRuntimeAreNeverNominated) {
-  for (const double bad : {0.0, -1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
+  for (const double bad : {0.0, -1.0, std::numeric_limits<double>::quiet_NaN(),
+                           std::numeric_limits<double>::infinity()}) {
     auto r = overrun();
     r.spec.estimate_s = bad;
     EXPECT_EQ(reason(r), "invalid_duration");
@@ -98,7 +99,8 @@
   return o;
 }
 
-// A fleet of two machines that can't grow, full of an array whose owner guessed 20 s and that runs for ten times that.
+// A fleet of two machines that can't grow, full of an array whose owner guessed 20 s and that runs
+// for ten times that.
 testing::ClusterSimulation::Options overrunning() {
   auto o = tight();
   o.boot_failures = false;
@@ -128,7 +130,8 @@
   EXPECT_TRUE(w.broken.empty()) << w.broken.front();
 }
 
-// Nomination, trial, commit, stop, the contender whole in the freed room, and the cooldown of the victim.
+// Nomination, trial, commit, stop, the contender whole in the freed room, and the cooldown of the
+// victim.
 TEST(Requeue, ACommitMakesRoomForTheContenderAndTheVictimSitsOutItsCooldown) {
   testing::ClusterSimulation w(overrunning());
   w.submit(filler("job-1", 2, 20), 1);
@@ -143,8 +146,8 @@
   EXPECT_EQ(w.running("job-1"), 0u);
   const double not_before = w.stored("job/job-1")->value("not_before", 0.0);
   EXPECT_GT(not_before, 0.0);
-  // When the contender is over the victim runs again, from its checkpoint or anew; another contender
-  // comes once it is due again, and gets nothing while the cooldown lasts.
+  // When the contender is over the victim runs again, from its checkpoint or anew; another
+  // contender comes once it is due again, and gets nothing while the cooldown lasts.
   w.run_until(75);
   EXPECT_EQ(w.told("job-2"), "done");
   EXPECT_EQ(w.running("job-1"), 2u);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -10,7 +10,8 @@
 std::vector<store::TeamSettings> teams(int n) {
   std::vector<store::TeamSettings> out;
   out.reserve(static_cast<size_t>(n));
-  for (int i = 0; i < n; ++i) out.push_back({"team-" + std::to_string(i), {200, 40, 0}, {1000, 200, 0}});
+  for (int i = 0; i < n; ++i)
+    out.push_back({"team-" + std::to_string(i), {200, 40, 0}, {1000, 200, 0}});
   return out;
 }
 
@@ -31,8 +32,8 @@
 
 std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
 
-// Rentals waited in a queue, one request a part and a few machines, behind others for a type that the
-// cloud had refused long since; at two calls a second the fleet came up minutes late.
+// Rentals waited in a queue, one request a part and a few machines, behind others for a type that
+// the cloud had refused long since; at two calls a second the fleet came up minutes late.
 TEST(Scale, AFleetOfManyPartsComesUpWithFewCallsToTheCloud) {
   ClusterSimulation::Options options;
   options.nodes = 5;
@@ -52,7 +53,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// One controller, more of them than teams, many teams on few: each team is served, also after each crash.
+// One controller, more of them than teams, many teams on few: each team is served, also after each
+// crash.
 TEST(Scale, AnyNumberOfControllersServesAnyNumberOfTeams) {
   for (const auto& [nodes, of_teams] : {std::pair{1, 3}, {7, 2}, {2, 12}}) {
     ClusterSimulation::Options options;
@@ -63,7 +65,8 @@
     ClusterSimulation w(options);
     for (int i = 0; i < of_teams; ++i) w.submit(service(i, of_teams, 2), 3);
     w.run_until(60);
-    for (int i = 0; i < of_teams; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << nodes << " nodes, team " << i;
+    for (int i = 0; i < of_teams; ++i)
+      EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << nodes << " nodes, team " << i;
     for (int n = 0; n < nodes; ++n) w.kill_node(n, 5);
     for (int i = 0; i < of_teams; ++i) w.submit(service(100 + i, of_teams, 2), 70);
     w.run_until(130);
@@ -75,8 +78,8 @@
   }
 }
 
-// What is written, asked and sent grows with the size and no faster: with jobs times machines it would at
-// some size stop the fleet, whatever the machines.
+// What is written, asked and sent grows with the size and no faster: with jobs times machines it
+// would at some size stop the fleet, whatever the machines.
 TEST(Scale, WorkGrowsNoFasterThanTheFleet) {
   const auto play = [](int jobs) {
     ClusterSimulation::Options options;
@@ -88,7 +91,8 @@
     ClusterSimulation w(options);
     for (int i = 0; i < jobs; ++i) w.submit(service(i, 10, 4), 3 + 40.0 * i / jobs);
     w.run_until(100);
-    for (int i = 0; i < jobs; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << " of " << jobs;
+    for (int i = 0; i < jobs; ++i)
+      EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << " of " << jobs;
     EXPECT_TRUE(w.broken.empty()) << first(w);
     return w.work();
   };
@@ -101,8 +105,8 @@
   EXPECT_LE(many.state_requests, few.state_requests * kTimes);
 }
 
-// Each message between controllers named every machine that the sender heard: writing and reading these names cost as
-// much processor time as the workers' reports, and grew with the fleet.
+// Each message between controllers named every machine that the sender heard: writing and reading
+// these names cost as much processor time as the workers' reports, and grew with the fleet.
 TEST(Scale, MessagesBetweenControllersDoNotGrowWithTheFleet) {
   ClusterSimulation::Options options;
   options.nodes = 5;
@@ -128,8 +132,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// A tick every eightieth of report_s, forty a second here, was two turns in five of a busy controller, and a turn costs
-// as much as a message.
+// A tick every eightieth of report_s, forty a second here, was two turns in five of a busy
+// controller, and a turn costs as much as a message.
 TEST(Scale, AControllerWithNothingToDoWakesSeldom) {
   ClusterSimulation::Options options;
   options.nodes = 5;
@@ -139,13 +143,15 @@
   const size_t before = w.work().turns;
   constexpr double kSeconds = 30;
   w.run_until(30 + kSeconds);
-  // Messages with four peers, one a second each way, and their answers; renewals, a watch, health and plans.
+  // Messages with four peers, one a second each way, and their answers; renewals, a watch, health
+  // and plans.
   constexpr double kMostPerSecond = 25;
-  EXPECT_LE(static_cast<double>(w.work().turns - before), kMostPerSecond * kSeconds * options.nodes);
+  EXPECT_LE(static_cast<double>(w.work().turns - before),
+            kMostPerSecond * kSeconds * options.nodes);
 }
 
-// All that stood in line at the start counted as arrivals of three boot times: spare room for a third of it
-// again was rented, and kept for as long.
+// All that stood in line at the start counted as arrivals of three boot times: spare room for a
+// third of it again was rented, and kept for as long.
 TEST(Scale, WhatStoodInLineAtTheStartIsNotExpectedAgain) {
   ClusterSimulation::Options options;
   options.teams = teams(2);
@@ -164,8 +170,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// Each job of a dead machine was written twice, without the lost task and with its new place: when dozens of
-// machines died at once, the second half of these writes waited seconds for the budget.
+// Each job of a dead machine was written twice, without the lost task and with its new place: when
+// dozens of machines died at once, the second half of these writes waited seconds for the budget.
 TEST(Scale, AJobOfADeadMachineIsWrittenOnceToItsNextPlace) {
   ClusterSimulation::Options options;
   options.teams = teams(2);
@@ -189,14 +195,15 @@
   const size_t before = w.work().writes;
   w.run_until(75);
   for (int i = 0; i < kJobs; i += 2) EXPECT_EQ(w.running("job-" + std::to_string(2 * i)), 1u) << i;
-  // Placed, reported running; and the records of the machine itself and of what is rented and given back.
+  // Placed, reported running; and the records of the machine itself and of what is rented and given
+  // back.
   constexpr size_t kMachines = 4;
   EXPECT_LE(w.work().writes - before, 2 * lost + kMachines);
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// Connections between controllers refused: each took the whole budget of the state service for its own, and
-// the service refused a third of what was asked.
+// Connections between controllers refused: each took the whole budget of the state service for its
+// own, and the service refused a third of what was asked.
 TEST(Scale, ControllersThatDontHearEachOtherShareTheBudgetAllTheSame) {
   ClusterSimulation::Options options;
   options.nodes = 5;
@@ -211,7 +218,8 @@
   }
   w.run_until(25);
   for (int a = 0; a < 5; ++a)
-    for (int b = a + 1; b < 5; ++b) w.cut("node-" + std::to_string(a), "node-" + std::to_string(b), 40, false);
+    for (int b = a + 1; b < 5; ++b)
+      w.cut("node-" + std::to_string(a), "node-" + std::to_string(b), 40, false);
   w.run_until(30);
   const size_t before = w.work().state_requests;
   w.run_until(60);
@@ -219,7 +227,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// One request of fifty machines left in each plan, whatever the cloud takes: a plan every two seconds here.
+// One request of fifty machines left in each plan, whatever the cloud takes: a plan every two
+// seconds here.
 TEST(Scale, ManyMachinesOfOneKindAreRentedAtOnce) {
   ClusterSimulation::Options options;
   options.teams = teams(3);
@@ -244,8 +253,9 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// A command to each machine of a lost zone took every socket for as long as a time-out: the renewals of the lease found
-// none, the lease lapsed, and machines for whose command there was no socket were given up as if they did not answer.
+// A command to each machine of a lost zone took every socket for as long as a time-out: the
+// renewals of the lease found none, the lease lapsed, and machines for whose command there was no
+// socket were given up as if they did not answer.
 TEST(Scale, ALostZoneLeavesSocketsForTheStateService) {
   ClusterSimulation::Options options;
   options.nodes = 2;
@@ -268,12 +278,13 @@
   w.run_until(110);
   EXPECT_EQ(w.work().calls_without_socket, before.calls_without_socket);
   EXPECT_LE(w.work().most_commands_at_once, static_cast<size_t>(options.max_connections * 0.2));
-  for (int i = 0; i < kJobs; ++i) EXPECT_GE(w.running("job-" + std::to_string(i)), 2u) << i;  // the half that is in zone b
+  for (int i = 0; i < kJobs; ++i)
+    EXPECT_GE(w.running("job-" + std::to_string(i)), 2u) << i;  // the half that is in zone b
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// The size that operators run: it comes up, loses a zone, loses all its controllers, changes its leader, and keeps the rules
-// all the while, with work in proportion to the fleet.
+// The size that operators run: it comes up, loses a zone, loses all its controllers, changes its
+// leader, and keeps the rules all the while, with work in proportion to the fleet.
 TEST(Scale, FourThousandMachinesThroughALostZoneARestartAndAChangeOfLeader) {
   ClusterSimulation::Options options;
   options.nodes = 10;
@@ -317,16 +328,17 @@
   w.run_until(280);
   EXPECT_EQ(tasks_running(), kJobs * kTasks);
   EXPECT_TRUE(w.broken.empty()) << first(w);
-  // Each machine is rented, gets its address and goes or is offered; each job is accepted, placed, marked, and placed anew
-  // in the other zone: 768,617 turns, 31,606 puts of 7.2 million bytes and 357 calls when this was written.
+  // Each machine is rented, gets its address and goes or is offered; each job is accepted, placed,
+  // marked, and placed anew in the other zone: 768,617 turns, 31,606 puts of 7.2 million bytes and
+  // 357 calls when this was written.
   EXPECT_LE(w.work().turns, 1000000u);
   EXPECT_LE(w.work().writes, 40000u);
   EXPECT_LE(w.work().bytes_written, 10000000u);
   EXPECT_LE(w.work().cloud_calls, 600u);
 }
 
-// A job's last start stood for all its replicas, and one array kept a machine from being emptied: at a
-// few hundred jobs nothing was ever settled, and the fleet stayed at its largest.
+// A job's last start stood for all its replicas, and one array kept a machine from being emptied:
+// at a few hundred jobs nothing was ever settled, and the fleet stayed at its largest.
 TEST(Scale, MachinesAreEmptiedThoughJobsStartAllTheTime) {
   ClusterSimulation::Options options;
   options.nodes = 2;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -26,18 +26,23 @@
 }
 
 /// The platform's settings with further lines for the workers and the state service.
-store::Settings platform_settings(const std::string& workers, const std::string& state, const std::string& ops = "8") {
-  const std::string path = ::testing::TempDir() + "rushtrestle-settings-" + std::to_string(::getpid()) + ".toml";
-  std::ofstream(path) << "node = \"n-0\"\narea = \"a\"\nserve_on = \"127.0.0.1:1\"\npeer_listen = \"127.0.0.1:2\"\n"
-                         "[external]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n"
-                         "[deployment]\ncount = 1\nzones = [\"a\"]\n[[deployment.teams]]\nname = \"red\"\ncpus = 1.0\n"
-                         "gpus = 0.0\ncpus_max = 2.0\ngpus_max = 0.0\n[deployment.workers]\nreport_s = 2.0\n"
-                         "lease_s = 14.0\ncancel_s = 39.0\n"
-                      << workers << "[deployment.state]\nrps = 60.0\nwrite_rps = 20.0\nvalue_kb = 4.0\ntxn_ops = " << ops
-                      << "\n"
-                      << state
-                      << "[deployment.cloud]\nrps = 8.0\nlist_lag_s = 3.0\n[deployment.resources]\ncores = 0.16\n"
-                         "ram_mb = 56.0\nfd_limit = 800\n";
+store::Settings platform_settings(const std::string& workers, const std::string& state,
+                                  const std::string& ops = "8") {
+  const std::string path =
+      ::testing::TempDir() + "rushtrestle-settings-" + std::to_string(::getpid()) + ".toml";
+  std::ofstream(path)
+      << "node = \"n-0\"\narea = \"a\"\nserve_on = \"127.0.0.1:1\"\npeer_listen = \"127.0.0.1:2\"\n"
+         "[external]\ncloud = \"127.0.0.1:3\"\nstate = \"127.0.0.1:4\"\n"
+         "[deployment]\ncount = 1\nzones = [\"a\"]\n[[deployment.teams]]\nname = \"red\"\ncpus = "
+         "1.0\n"
+         "gpus = 0.0\ncpus_max = 2.0\ngpus_max = 0.0\n[deployment.workers]\nreport_s = 2.0\n"
+         "lease_s = 14.0\ncancel_s = 39.0\n"
+      << workers
+      << "[deployment.state]\nrps = 60.0\nwrite_rps = 20.0\nvalue_kb = 4.0\ntxn_ops = " << ops
+      << "\n"
+      << state
+      << "[deployment.cloud]\nrps = 8.0\nlist_lag_s = 3.0\n[deployment.resources]\ncores = 0.16\n"
+         "ram_mb = 56.0\nfd_limit = 800\n";
   try {
     auto s = read_settings(path);
     std::remove(path.c_str());
@@ -48,7 +53,8 @@
   }
 }
 
-std::string platform_fault(const std::string& workers, const std::string& state, const std::string& ops = "8") {
+std::string platform_fault(const std::string& workers, const std::string& state,
+                           const std::string& ops = "8") {
   try {
     platform_settings(workers, state, ops);
   } catch (const SettingsError& e) {
@@ -63,17 +69,20 @@
   EXPECT_EQ(before.txn_ops, 8);
   EXPECT_DOUBLE_EQ(before.value_kb, 4);
   EXPECT_DOUBLE_EQ(before.next_write_rps, 0);
-  const auto lower = platform_settings("", "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n");
+  const auto lower = platform_settings(
+      "", "[deployment.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0\n");
   EXPECT_EQ(lower.txn_ops, 4);
   EXPECT_DOUBLE_EQ(lower.value_kb, 2);
   EXPECT_DOUBLE_EQ(lower.state_write_rps, 20);
   EXPECT_DOUBLE_EQ(lower.next_write_rps, 15);
-  const auto higher = platform_settings("", "[deployment.state.next]\nvalue_kb = 16.0\ntxn_ops = 64\n");
+  const auto higher =
+      platform_settings("", "[deployment.state.next]\nvalue_kb = 16.0\ntxn_ops = 64\n");
   EXPECT_EQ(higher.txn_ops, 8);
   EXPECT_DOUBLE_EQ(higher.value_kb, 4);
 }
 
-// A team of guests has 0 for everything: read as a limit of nothing, each of its jobs was refused for good.
+// A team of guests has 0 for everything: read as a limit of nothing, each of its jobs was refused
+// for good.
 TEST(Settings, ALimitOfNothingIsNoLimit) {
   const auto team = platform_settings("", "").teams.front();
   EXPECT_DOUBLE_EQ(team.quota.cpus, 2);
@@ -83,16 +92,24 @@
 
 TEST(Settings, NonsensicalLimitsAndGangTimesAreNamed) {
   const std::string next = "deployment.state.next";
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = 0\n"), next + ".value_kb: must be above 0.000000");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = \"2\"\n"), next + ".value_kb: number missing");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 0\n"), next + ".txn_ops: must be at least 1.000000");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 2.5\n"), next + ".txn_ops: must be a whole number");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nwrite_rps = -1\n"), next + ".write_rps: must be above 0.000000");
+  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = 0\n"),
+            next + ".value_kb: must be above 0.000000");
+  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = \"2\"\n"),
+            next + ".value_kb: number missing");
+  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 0\n"),
+            next + ".txn_ops: must be at least 1.000000");
+  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 2.5\n"),
+            next + ".txn_ops: must be a whole number");
+  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nwrite_rps = -1\n"),
+            next + ".write_rps: must be above 0.000000");
   EXPECT_EQ(platform_fault("", "next = 2\n"), next + ": must be a table");
   EXPECT_EQ(platform_fault("", "", "1e300"), "deployment.state.txn_ops: must be a whole number");
-  EXPECT_EQ(platform_fault("gang_wait_s = 0\n", ""), "deployment.workers.gang_wait_s: must be above 0.000000");
-  EXPECT_EQ(platform_fault("gang_peer_s = -3.0\n", ""), "deployment.workers.gang_peer_s: must be above 0.000000");
-  EXPECT_EQ(platform_fault("gang_peer_s = 8.0\ngang_wait_s = 50.0\n", "[deployment.state.next]\n"), "");
+  EXPECT_EQ(platform_fault("gang_wait_s = 0\n", ""),
+            "deployment.workers.gang_wait_s: must be above 0.000000");
+  EXPECT_EQ(platform_fault("gang_peer_s = -3.0\n", ""),
+            "deployment.workers.gang_peer_s: must be above 0.000000");
+  EXPECT_EQ(platform_fault("gang_peer_s = 8.0\ngang_wait_s = 50.0\n", "[deployment.state.next]\n"),
+            "");
 }
 
 TEST(Settings, OperatorsSettingsAreRead) {
@@ -116,7 +133,8 @@
   EXPECT_EQ(fault("\n(scan-period 3"), "line 2: form is not closed");
   EXPECT_EQ(fault("scan-period 3"), "line 1: expected a form in parentheses");
   EXPECT_EQ(fault("(team-share green 1)"), "line 1: team-share: no team 'green'");
-  EXPECT_EQ(fault("(preemptible prod)"), "line 1: preemptible: ranks are low, normal, high and production");
+  EXPECT_EQ(fault("(preemptible prod)"),
+            "line 1: preemptible: ranks are low, normal, high and production");
 }
 
 RC_GTEST_PROP(Settings, NoTextCrashesTheReader, (const std::string& text)) {
--- a/tests/simulation/cloud.cpp
+++ b/tests/simulation/cloud.cpp
@@ -12,14 +12,16 @@
     done.reply = ProvisionReply{known->second};
     return;
   }
-  const auto type = std::find_if(types_.begin(), types_.end(), [&](const auto& t) { return t.name == r.type; });
+  const auto type =
+      std::find_if(types_.begin(), types_.end(), [&](const auto& t) { return t.name == r.type; });
   if (type == types_.end()) {
     done.status = 400;
     return;
   }
   int used = 0;
   for (const auto& [id, w] : workers_)
-    if (w.type == r.type && w.zone == r.zone && w.spot == r.spot && w.phase != Worker::Phase::dead) ++used;
+    if (w.type == r.type && w.zone == r.zone && w.spot == r.spot && w.phase != Worker::Phase::dead)
+      ++used;
   const int most = options_.capacity.count(r.type) ? options_.capacity.at(r.type) : 4;
   ProvisionReply reply;
   for (int i = 0; i < r.count && used < most; ++i, ++used) {
@@ -32,7 +34,8 @@
     w.spot = r.spot;
     w.created = now_;
     w.up_at = now_ + type->boot_s * std::uniform_real_distribution<>(0.1, 1.5)(rng_);
-    if (options_.boot_failures && std::uniform_int_distribution<>(0, 19)(rng_) == 0) w.up_at = 1e9;  // never comes up
+    if (options_.boot_failures && std::uniform_int_distribution<>(0, 19)(rng_) == 0)
+      w.up_at = 1e9;  // never comes up
     w.target = rng_() % nodes_.size();
     workers_[w.id] = w;
     reply.machines.push_back(w.id);
@@ -72,7 +75,8 @@
         break;
       }
       reply.machines.push_back({id, w.address, w.type, w.zone, w.spot,
-                                w.phase == Worker::Phase::up ? CloudMachine::State::running : CloudMachine::State::booting,
+                                w.phase == Worker::Phase::up ? CloudMachine::State::running
+                                                             : CloudMachine::State::booting,
                                 now_ - w.created});
     }
     done.reply = std::move(reply);
--- a/tests/simulation/cluster_simulation.cpp
+++ b/tests/simulation/cluster_simulation.cpp
@@ -5,7 +5,8 @@
 
 namespace rushtrestle::testing {
 
-ClusterSimulation::ClusterSimulation(Options options) : options_(std::move(options)), rng_(options_.seed) {
+ClusterSimulation::ClusterSimulation(Options options)
+    : options_(std::move(options)), rng_(options_.seed) {
   settings_.nodes = options_.nodes;
   settings_.zones = {"a", "b"};
   settings_.clock_error_s = 1;
@@ -29,12 +30,14 @@
   settings_.cloud = settings_.state = "cloud";
   types_ = options_.types;
   if (types_.empty())
-    types_ = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}}, {"gpu", {32, 4, 256}, 300, 4, 20, 7, 10, {"a", "b"}}};
+    types_ = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 8, {"a", "b"}},
+              {"gpu", {32, 4, 256}, 300, 4, 20, 7, 10, {"a", "b"}}};
   for (int n = 0; n < options_.nodes; ++n) {
     nodes_.emplace_back();
     nodes_.back().name = node_name(n);
     nodes_.back().wall_offset = std::uniform_real_distribution<>(-1, 1)(rng_);
-    if (const auto v = options_.versions.find(n); v != options_.versions.end()) nodes_.back().version = v->second;
+    if (const auto v = options_.versions.find(n); v != options_.versions.end())
+      nodes_.back().version = v->second;
     nodes_.back().drift = 1 + std::uniform_real_distribution<>(0, 0.0005)(rng_);
   }
   state_.set_limits(kPresentLimits.first, kPresentLimits.second);
@@ -56,7 +59,9 @@
   now_ = t;
 }
 
-void ClusterSimulation::fail(const std::string& what) { broken.push_back(std::to_string(now_) + " " + what); }
+void ClusterSimulation::fail(const std::string& what) {
+  broken.push_back(std::to_string(now_) + " " + what);
+}
 
 // ---- nodes ----
 
@@ -72,8 +77,9 @@
   store::OperatorSettings operators;
   operators.requeue_delay_s = options_.requeue_delay_s;
   operators.consolidate = options_.consolidate;
-  node.core = start_controller(node.version, {s, operators, node.name + "." + std::to_string(node.generation), rng_(),
-                                              options_.trace ? LogLine::Level::info : LogLine::Level::error});
+  node.core = start_controller(
+      node.version, {s, operators, node.name + "." + std::to_string(node.generation), rng_(),
+                     options_.trace ? LogLine::Level::info : LogLine::Level::error});
   node.commands.clear();
   node.calls.clear();
   node.commands_to_workers.clear();
@@ -120,7 +126,8 @@
   const double steady = now_ * node.drift + 1000;
   const bool starved = now_ < node.starved_until;
   constexpr size_t kStarvedBatch = 12;
-  if (starved) {  // sockets are not read in the order in which something came to them; those with replies come first
+  if (starved) {  // sockets are not read in the order in which something came to them; those with
+                  // replies come first
     std::shuffle(node.commands.begin(), node.commands.end(), rng_);
     std::stable_partition(node.commands.begin(), node.commands.end(),
                           [](const Command& c) { return std::holds_alternative<CallDone>(c); });
@@ -130,8 +137,8 @@
     batch.push_back(std::move(node.commands.front()));
     node.commands.pop_front();
   }
-  auto effects =
-      node.core->handle(batch, Clock{steady, now_ + 1e9 + node.wall_offset, ProcessLoad{options_.memory_in_use_mb}});
+  auto effects = node.core->handle(
+      batch, Clock{steady, now_ + 1e9 + node.wall_offset, ProcessLoad{options_.memory_in_use_mb}});
   const auto wakeup = node.core->next_wakeup();
   schedule_tick(n, wakeup ? (*wakeup - steady) / node.drift : settings_.heartbeat_interval_s / 80);
   const auto carry_out_all = [this, n, generation](std::vector<Effect>& all) {
@@ -142,7 +149,8 @@
   };
   if (!starved) return carry_out_all(effects);
   node.frozen_until = now_ + node.batch_s;
-  at(node.frozen_until, [carry_out_all, effects = std::move(effects)]() mutable { carry_out_all(effects); });
+  at(node.frozen_until,
+     [carry_out_all, effects = std::move(effects)]() mutable { carry_out_all(effects); });
 }
 
 void ClusterSimulation::kill_node(int n, double back_after_s) {
@@ -176,13 +184,18 @@
     const auto waiting = w.mapped();
     send(name, waiting.worker, [this, waiting, answer = r->reply, n] {
       const auto it = workers_.find(waiting.worker);
-      if (it == workers_.end() || it->second.phase != Worker::Phase::up || now_ < it->second.hang_until) return;
+      if (it == workers_.end() || it->second.phase != Worker::Phase::up ||
+          now_ < it->second.hang_until)
+        return;
       Worker& worker = it->second;
-      if (worker.report_serial != waiting.serial || !worker.reporting || worker.agent_epoch != waiting.agent_epoch) return;
+      if (worker.report_serial != waiting.serial || !worker.reporting ||
+          worker.agent_epoch != waiting.agent_epoch)
+        return;
       advance(worker);
       worker.reporting = false;
       if (answer.status == 200) {
-        worker.next_report = now_ + settings_.heartbeat_interval_s * std::uniform_real_distribution<>(0.75, 1.25)(rng_);
+        worker.next_report = now_ + settings_.heartbeat_interval_s *
+                                        std::uniform_real_distribution<>(0.75, 1.25)(rng_);
         if (answer.fencing_token < worker.fencing_token) return;  // dropped, renews nothing
         worker.fencing_token = answer.fencing_token;
         worker.lease_from = worker.last_sent;
@@ -236,18 +249,21 @@
   double delay = std::uniform_real_distribution<>(0.0005, 0.004)(rng_);
   if (now_ < slow_links_until_) delay += std::uniform_real_distribution<>(0, link_delay_s_)(rng_);
   for (const auto& c : cuts_) {
-    if (now_ >= c.until || !((c.from == from || c.from == "*") && (c.to == to || c.to == "*"))) continue;
+    if (now_ >= c.until || !((c.from == from || c.from == "*") && (c.to == to || c.to == "*")))
+      continue;
     if (!c.hold) return std::nullopt;
     delay = std::max(delay, c.until - now_ + delay);
   }
   return delay;
 }
 
-void ClusterSimulation::send(const std::string& from, const std::string& to, std::function<void()> arrive) {
+void ClusterSimulation::send(const std::string& from, const std::string& to,
+                             std::function<void()> arrive) {
   if (const auto delay = transit(from, to)) at(now_ + *delay, std::move(arrive));
 }
 
-void ClusterSimulation::cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way) {
+void ClusterSimulation::cut(const std::string& a, const std::string& b, double for_s, bool hold,
+                            bool one_way) {
   cuts_.push_back({a, b, now_ + for_s, hold});
   if (!one_way) cuts_.push_back({b, a, now_ + for_s, hold});
 }
@@ -262,9 +278,11 @@
   for (const auto& [id, w] : workers_) cut(node_name(n), id, for_s, hold);
 }
 
-void ClusterSimulation::cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s, bool hold) {
+void ClusterSimulation::cut_zone(const std::string& zone, const std::set<int>& nodes_inside,
+                                 double for_s, bool hold) {
   std::vector<std::string> inside, outside{"state", "cloud", "users"};
-  for (int n = 0; n < options_.nodes; ++n) (nodes_inside.count(n) ? inside : outside).push_back(node_name(n));
+  for (int n = 0; n < options_.nodes; ++n)
+    (nodes_inside.count(n) ? inside : outside).push_back(node_name(n));
   for (const auto& [id, w] : workers_) (w.zone == zone ? inside : outside).push_back(id);
   for (const auto& a : inside)
     for (const auto& b : outside) cut(a, b, for_s, hold);
@@ -275,7 +293,9 @@
   link_delay_s_ = delay_s;
 }
 
-void ClusterSimulation::freeze_node(int n, double for_s) { nodes_[static_cast<size_t>(n)].frozen_until = now_ + for_s; }
+void ClusterSimulation::freeze_node(int n, double for_s) {
+  nodes_[static_cast<size_t>(n)].frozen_until = now_ + for_s;
+}
 
 void ClusterSimulation::starve_node(int n, double for_s, double batch_s) {
   Node& node = nodes_[static_cast<size_t>(n)];
@@ -283,7 +303,9 @@
   node.batch_s = batch_s;
 }
 
-void ClusterSimulation::cut_node(int n, double for_s, bool hold) { cut(node_name(n), "*", for_s, hold); }
+void ClusterSimulation::cut_node(int n, double for_s, bool hold) {
+  cut(node_name(n), "*", for_s, hold);
+}
 
 // As the transport does: a call for which there is no socket has no answer.
 bool ClusterSimulation::take_socket(Node& node, const Call& c) {
@@ -295,7 +317,8 @@
   }
   node.calls.insert(c.id);
   if (std::holds_alternative<PushCommands>(c.body)) node.commands_to_workers.insert(c.id);
-  work_.most_commands_at_once = std::max(work_.most_commands_at_once, node.commands_to_workers.size());
+  work_.most_commands_at_once =
+      std::max(work_.most_commands_at_once, node.commands_to_workers.size());
   return true;
 }
 
@@ -335,7 +358,8 @@
         run();
       }
     });
-  } else if (std::holds_alternative<SendPeerState>(c.body) || std::holds_alternative<ForwardHeartbeat>(c.body)) {
+  } else if (std::holds_alternative<SendPeerState>(c.body) ||
+             std::holds_alternative<ForwardHeartbeat>(c.body)) {
     const auto* tell = std::get_if<SendPeerState>(&c.body);
     const auto* relay = std::get_if<ForwardHeartbeat>(&c.body);
     const std::string address = tell ? tell->address : relay->address;
@@ -354,19 +378,24 @@
       }
     });
   } else if (std::holds_alternative<Watch>(c.body)) {
-    send(name, "state", [this, n, generation, call = c, deadline] { watch(n, generation, call, deadline); });
+    send(name, "state",
+         [this, n, generation, call = c, deadline] { watch(n, generation, call, deadline); });
   } else if (c.body.index() < CallBody(ListMachineTypes{}).index()) {
     const double slow = now_ < slow_until_ && rng_() % 4 == 0 ? 3 : 0;
     if (std::holds_alternative<Txn>(c.body) && now_ < unanswered_until_ &&
         std::uniform_real_distribution<>(0, 1)(rng_) < unanswered_share_) {
       const double late = unanswered_at_once_ ? 0 : std::uniform_real_distribution<>(2, 12)(rng_);
-      send(name, "state", [this, n, late, call = c] { at(now_ + late, [this, n, call] { at_state(n, call); }); });
+      send(name, "state",
+           [this, n, late, call = c] { at(now_ + late, [this, n, call] { at_state(n, call); }); });
       return;
     }
-    send(name, "state",
-         [this, n, back, slow, call = c] { at(now_ + slow, [this, n, back, call] { back("state", at_state(n, call)); }); });
+    send(name, "state", [this, n, back, slow, call = c] {
+      at(now_ + slow, [this, n, back, call] { back("state", at_state(n, call)); });
+    });
   } else {
-    send(name, "cloud", [this, back, call = c] { at(now_ + 0.2, [this, back, call] { back("cloud", at_cloud(call)); }); });
+    send(name, "cloud", [this, back, call = c] {
+      at(now_ + 0.2, [this, back, call] { back("cloud", at_cloud(call)); });
+    });
   }
 }
 
--- a/tests/simulation/cluster_simulation.h
+++ b/tests/simulation/cluster_simulation.h
@@ -41,14 +41,16 @@
     double heartbeat_interval_s = 2, lease_s = 14, cancel_s = 39, gang_wait_s = 50, gang_peer_s = 8;
     std::optional<std::pair<double, int>> next_limits;  // value_kb and txn_ops
     double next_write_rps = 0;
-    std::map<int, ControllerVersion> versions;  // of controllers that don't start with the current one
-    double step_s = 0.25;                       // between two looks of a worker at its tasks and the clock
-    size_t page = 7;                            // of the state service
-    // Nodes whose words to the others are those of the version before: fields that it does not know are neither
-    // sent nor understood.
+    std::map<int, ControllerVersion>
+        versions;          // of controllers that don't start with the current one
+    double step_s = 0.25;  // between two looks of a worker at its tasks and the clock
+    size_t page = 7;       // of the state service
+    // Nodes whose words to the others are those of the version before: fields that it does not know
+    // are neither sent nor understood.
     std::set<int> words_of_before;
     double memory_in_use_mb = 0;  // by each controller, of 56
-    int max_connections = 800;    // sockets of a controller; of these, those for its own calls bound the calls under way
+    int max_connections = 800;  // sockets of a controller; of these, those for its own calls bound
+                                // the calls under way
   };
   explicit ClusterSimulation(Options options);
 
@@ -75,11 +77,14 @@
   void lower_state_limits(double value_kb, int txn_ops);
   void lower_write_rate();
   void slow_state(double for_s);  // one request in four takes seconds
-  void cut(const std::string& a, const std::string& b, double for_s, bool hold, bool one_way = false);
+  void cut(const std::string& a, const std::string& b, double for_s, bool hold,
+           bool one_way = false);
   void kill_machine(size_t select_slot);
   void kill_zone(const std::string& zone);  // all its machines that are up
   void sicken_machine_of(const std::string& job, double for_s);
-  void break_job(const std::string& job) { jobs_.at(job).broken = true; }  // its tasks fail on every machine
+  void break_job(const std::string& job) {
+    jobs_.at(job).broken = true;
+  }  // its tasks fail on every machine
   // The controller that holds the part of the job's team.
   std::optional<int> owner_of(const std::string& job) const;
   void kill_owner_of(const std::string& job, double back_after_s);
@@ -93,16 +98,18 @@
   void cut_workers(int n, double for_s, bool hold);  // all that are up, from this node alone
   // A node stands still while its clocks run on; what has come to it waits.
   void freeze_node(int n, double for_s);
-  // A node gets so little processor time that each batch of a few commands takes so long: the others wait unread, and
-  // what it decides leaves at the end of that.
+  // A node gets so little processor time that each batch of a few commands takes so long: the
+  // others wait unread, and what it decides leaves at the end of that.
   void starve_node(int n, double for_s, double batch_s);
   void slow_links(double for_s, double delay_s);  // between all
   // From everything outside, state service, cloud and users included; inside, all goes on.
-  void cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s, bool hold);
+  void cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s,
+                bool hold);
   void delay_report_copies(double for_s, double late_s);
   // Copies of reports wait for the next controller that gets a part or leads, and then come to all.
   void keep_report_copies(double for_s);
-  // A machine with a task of the job tells this node, once, of a gang's state and of attempts that nobody gave.
+  // A machine with a task of the job tells this node, once, of a gang's state and of attempts that
+  // nobody gave.
   void report_nonsense(const std::string& job, int node);
   // That share of transactions gets no answer; carried out at once, or 2 to 12 s later.
   void unanswered_writes(double for_s, double share, bool at_once);
@@ -112,8 +119,9 @@
   void cancel_some_now(size_t count, double hang_s);
   // That share of the jobs that end is called off at the moment of the end.
   void cancel_at_end(double for_s, double share);
-  // After each answer that says accepted, done or cancelled, every node is asked within milliseconds, and the
-  // submission is repeated; now and then a job that is done is called off, and one is sent that fits nowhere.
+  // After each answer that says accepted, done or cancelled, every node is asked within
+  // milliseconds, and the submission is repeated; now and then a job that is done is called off,
+  // and one is sent that fits nowhere.
   void close_looks(double for_s);
 
   // ---- what is seen ----
@@ -129,7 +137,8 @@
   size_t machines_up() const;
   /// Work done so far, of all controllers together.
   struct Work {
-    size_t cloud_calls = 0, state_requests = 0, writes = 0, worker_messages = 0;  // the last: sent to workers
+    size_t cloud_calls = 0, state_requests = 0, writes = 0,
+           worker_messages = 0;  // the last: sent to workers
     size_t peer_messages = 0, machines_named_to_peers = 0;
     size_t refusals = 0;       // of users, with a time to come back
     size_t job_writes = 0;     // of writes, those of job records
@@ -188,7 +197,8 @@
     store::JobSpec spec;
     bool refused_for_good = false;
     bool broken = false;
-    bool submitted = false, accepted = false, user_cancelled = false, cancel_told = false, done_told = false;
+    bool submitted = false, accepted = false, user_cancelled = false, cancel_told = false,
+         done_told = false;
     double cancel_told_at = 0, first_submit = 0;
     std::optional<std::string> last_told;
     uint64_t starts = 0;
@@ -308,10 +318,11 @@
   std::map<RequestId, PeerWaiting> peer_waiting_;
   RequestId next_request_ = 1;
   size_t started_ = 0, starts_after_cancellation_ = 0;
-  // What the rules need of each task, kept up to date: with all machines looked at in each step of each machine, a world
-  // of thousands of them took the square.
-  std::map<std::string, std::set<std::string>> machines_of_job_;  // that were ever told to start a task of it
-  using Usage = std::map<std::string, store::Resources>;          // by team
+  // What the rules need of each task, kept up to date: with all machines looked at in each step of
+  // each machine, a world of thousands of them took the square.
+  std::map<std::string, std::set<std::string>>
+      machines_of_job_;  // that were ever told to start a task of it
+  using Usage = std::map<std::string, store::Resources>;  // by team
   std::map<std::string, Usage> usage_by_machine_;
   Usage usage_;
   double next_full_check_ = 0;
--- a/tests/simulation/fake_state_store.cpp
+++ b/tests/simulation/fake_state_store.cpp
@@ -81,7 +81,8 @@
 std::optional<WatchReply> FakeStateStore::changes_since(uint64_t revision) const {
   if (revision < oldest_kept_) return std::nullopt;
   WatchReply reply{revision_, {}};
-  for (auto it = log_.rbegin(); it != log_.rend() && it->mod_revision > revision; ++it) reply.events.push_back(*it);
+  for (auto it = log_.rbegin(); it != log_.rend() && it->mod_revision > revision; ++it)
+    reply.events.push_back(*it);
   std::reverse(reply.events.begin(), reply.events.end());
   return reply;
 }
@@ -115,7 +116,8 @@
   TxnReply reply;
   for (const auto& condition : transaction.preconditions) {
     const auto it = keys_.find(condition.key);
-    if ((it == keys_.end() ? 0 : it->second.mod_revision) != condition.mod_revision) reply.failed.push_back(condition.key);
+    if ((it == keys_.end() ? 0 : it->second.mod_revision) != condition.mod_revision)
+      reply.failed.push_back(condition.key);
   }
   reply.revision = revision_;
   if (!reply.failed.empty()) {
--- a/tests/simulation/fake_state_store.h
+++ b/tests/simulation/fake_state_store.h
@@ -1,5 +1,5 @@
-// The stand-in of the state service: keys, leases, the log of changes, transactions and their limits. It has no network;
-// whoever uses it delays, loses or refuses requests.
+// The stand-in of the state service: keys, leases, the log of changes, transactions and their
+// limits. It has no network; whoever uses it delays, loses or refuses requests.
 #pragma once
 #include <deque>
 #include <functional>
@@ -21,7 +21,8 @@
     uint64_t refused_for_rate = 0;
   };
 
-  /// Largest value in KiB of its JSON form, and puts and deletes of one transaction; a larger one gets 400.
+  /// Largest value in KiB of its JSON form, and puts and deletes of one transaction; a larger one
+  /// gets 400.
   void set_limits(double value_kb, int txn_ops);
   /// Puts and deletes a second, with bursts of a second's worth; beyond it 429.
   void set_write_rate(double per_second);
--- a/tests/simulation/fault_injection.cpp
+++ b/tests/simulation/fault_injection.cpp
@@ -27,8 +27,8 @@
 }
 ClusterSimulation::Worker* ClusterSimulation::worker_of(const std::string& job, size_t nth) {
   for (auto& [id, w] : workers_) {
-    const bool has_it =
-        std::any_of(w.tasks.begin(), w.tasks.end(), [&](const auto& entry) { return entry.first.first == job; });
+    const bool has_it = std::any_of(w.tasks.begin(), w.tasks.end(),
+                                    [&](const auto& entry) { return entry.first.first == job; });
     if (has_it && w.phase == Worker::Phase::up && nth-- == 0) return &w;
   }
   return nullptr;
@@ -75,7 +75,8 @@
 void ClusterSimulation::sick_machine(size_t select_slot, double for_s) {
   if (Worker* w = pick_worker(select_slot)) w->sick_until = now_ + for_s;
 }
-void ClusterSimulation::cut_machine(size_t select_slot, double for_s, bool hold, bool only_inbound) {
+void ClusterSimulation::cut_machine(size_t select_slot, double for_s, bool hold,
+                                    bool only_inbound) {
   if (Worker* w = pick_worker(select_slot)) cut("*", w->id, for_s, hold, only_inbound);
 }
 void ClusterSimulation::mute_machine(size_t select_slot, double for_s) {
@@ -107,8 +108,8 @@
     --count;
     called_off(id);
     for (auto& [machine, w] : workers_)
-      if (hang_s > 0 &&
-          std::any_of(w.tasks.begin(), w.tasks.end(), [&job = id](const auto& t) { return t.first.first == job; })) {
+      if (hang_s > 0 && std::any_of(w.tasks.begin(), w.tasks.end(),
+                                    [&job = id](const auto& t) { return t.first.first == job; })) {
         w.hang_until = std::max(w.hang_until, now_ + hang_s);
         break;
       }
@@ -124,8 +125,9 @@
 }
 
 size_t ClusterSimulation::machines_up() const {
-  return static_cast<size_t>(
-      std::count_if(workers_.begin(), workers_.end(), [](const auto& w) { return w.second.phase == Worker::Phase::up; }));
+  return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(), [](const auto& w) {
+    return w.second.phase == Worker::Phase::up;
+  }));
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -6,7 +6,8 @@
 
 namespace rushtrestle::testing {
 
-// The tasks of an attempt find each other, start and complete together, and end when one of them is gone.
+// The tasks of an attempt find each other, start and complete together, and end when one of them is
+// gone.
 void ClusterSimulation::advance_gangs() {
   if (!any_gang_) return;
   for (auto& [id, j] : jobs_) {
@@ -26,13 +27,17 @@
   const bool all = membership.size() == j.spec.tasks;
   if (j.completed.size() == j.spec.tasks) {  // the result is kept
     for (auto& [n, m] : membership)
-      if (m.task->gathered_at >= 0 && !is(m, TaskState::exited) && !m.hangs) leave(m, ExitCause::done);
+      if (m.task->gathered_at >= 0 && !is(m, TaskState::exited) && !m.hangs)
+        leave(m, ExitCause::done);
     return;
   }
   const auto every = [&](auto condition) {
-    return all && std::all_of(membership.begin(), membership.end(), [&](const auto& m) { return condition(m.second); });
+    return all && std::all_of(membership.begin(), membership.end(),
+                              [&](const auto& m) { return condition(m.second); });
   };
-  if (every([&](const Member& m) { return is(m, TaskState::fetching) && m.task->gathered_at >= 0 && !m.hangs; })) {
+  if (every([&](const Member& m) {
+        return is(m, TaskState::fetching) && m.task->gathered_at >= 0 && !m.hangs;
+      })) {
     for (auto& [n, m] : membership) m.task->heartbeat.state = TaskState::running;
     j.progress = j.safe;
     j.progressed_at = now_;
@@ -56,19 +61,24 @@
 void ClusterSimulation::progress_gang(Job& j, Attempt& membership) {
   j.progress += now_ - j.progressed_at;
   j.progressed_at = now_;
-  if (j.spec.checkpoint_s > 0) j.safe = std::max(j.safe, std::floor(j.progress / j.spec.checkpoint_s) * j.spec.checkpoint_s);
+  if (j.spec.checkpoint_s > 0)
+    j.safe = std::max(j.safe, std::floor(j.progress / j.spec.checkpoint_s) * j.spec.checkpoint_s);
   if (j.progress < j.spec.estimate_s * options_.run_factor) return;
   for (uint32_t n = 0; n < j.spec.tasks; ++n) j.completed.insert(n);
   for (auto& [n, m] : membership) leave(m, ExitCause::done);
 }
 
 void ClusterSimulation::notice_peers(const Job& j, const Attempt& membership, Member& m) {
-  const auto is = [](const Member& member, TaskState s) { return member.task->heartbeat.state == s; };
-  if (is(m, TaskState::fetching) && m.task->gathered_at >= 0 && now_ - m.task->gathered_at > options_.gang_wait_s)
+  const auto is = [](const Member& member, TaskState s) {
+    return member.task->heartbeat.state == s;
+  };
+  if (is(m, TaskState::fetching) && m.task->gathered_at >= 0 &&
+      now_ - m.task->gathered_at > options_.gang_wait_s)
     leave(m, ExitCause::stopped);  // `incomplete`
   if (!is(m, TaskState::running) && !is(m, TaskState::saving)) return;
   const bool one_is_gone =
-      membership.size() < j.spec.tasks || std::any_of(membership.begin(), membership.end(), [&](const auto& o) {
+      membership.size() < j.spec.tasks ||
+      std::any_of(membership.begin(), membership.end(), [&](const auto& o) {
         return o.second.hangs || is(o.second, TaskState::fetching) ||
                (is(o.second, TaskState::exited) && !o.second.task->heartbeat.saved);
       });
--- a/tests/simulation/generated_faults.cpp
+++ b/tests/simulation/generated_faults.cpp
@@ -3,7 +3,8 @@
 namespace rushtrestle::testing {
 
 std::ostream& operator<<(std::ostream& out, const Fault& t) {
-  return out << "{" << t.at << ", " << t.kind << ", " << t.which << ", " << t.for_s << ", " << t.flag << "}";
+  return out << "{" << t.at << ", " << t.kind << ", " << t.which << ", " << t.for_s << ", "
+             << t.flag << "}";
 }
 
 rc::Gen<Fault> faults() {
@@ -11,8 +12,8 @@
       [](int at, int kind, size_t which, int for_s, bool flag) {
         return Fault{static_cast<double>(at), kind, which, static_cast<double>(for_s), flag};
       },
-      rc::gen::inRange(20, 110), rc::gen::inRange(0, 30), rc::gen::inRange<size_t>(0, 12), rc::gen::inRange(3, 45),
-      rc::gen::arbitrary<bool>());
+      rc::gen::inRange(20, 110), rc::gen::inRange(0, 30), rc::gen::inRange<size_t>(0, 12),
+      rc::gen::inRange(3, 45), rc::gen::arbitrary<bool>());
 }
 
 void play(ClusterSimulation& w, const Fault& t) {
@@ -48,21 +49,26 @@
     case 22: w.close_looks(t.for_s); break;
     case 23:  // refused alone, then away for all
       w.refuse_state(n, 6);
-      w.at(w.now() + 1 + static_cast<double>(t.which) / 4, [&w, t] { w.state_outage(t.flag ? 45 : t.for_s); });
+      w.at(w.now() + 1 + static_cast<double>(t.which) / 4,
+           [&w, t] { w.state_outage(t.flag ? 45 : t.for_s); });
       break;
     case 24:  // loses the state service and the other controllers, not its workers or users
       w.cut("node-" + std::to_string(n), "state", t.for_s, t.flag);
       for (int i = 0; i < 3; ++i)
-        if (i != n) w.cut("node-" + std::to_string(n), "node-" + std::to_string(i), t.for_s, t.flag);
+        if (i != n)
+          w.cut("node-" + std::to_string(n), "node-" + std::to_string(i), t.for_s, t.flag);
       break;
     case 25:  // leaders change again and again
-      for (int k = 0; k < 6; ++k) w.at(w.now() + 4 * k, [&w, k] { w.kill_node(k % 3, k % 2 ? 0.2 : 3); });
+      for (int k = 0; k < 6; ++k)
+        w.at(w.now() + 4 * k, [&w, k] { w.kill_node(k % 3, k % 2 ? 0.2 : 3); });
       break;
     case 26: w.starve_node(n, t.for_s, t.flag ? 0.3 : 1.5); break;
     case 27:
       for (int i = 0; i < 3; ++i) w.starve_node(i, t.for_s, t.flag ? 0.2 : 0.8);
       break;
-    case 28: w.starve_node(n, 0.1, t.for_s); break;  // one pause of any length between a decision and its sending
+    case 28:
+      w.starve_node(n, 0.1, t.for_s);
+      break;  // one pause of any length between a decision and its sending
     default: w.delay_report_copies(t.for_s, t.for_s); break;
   }
 }
--- a/tests/simulation/rule_checks.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -5,7 +5,8 @@
 
 namespace rushtrestle::testing {
 
-void ClusterSimulation::check_start(const Worker& w, const std::string& job, uint32_t task, uint64_t attempt) {
+void ClusterSimulation::check_start(const Worker& w, const std::string& job, uint32_t task,
+                                    uint64_t attempt) {
   ++started_;
   Job& j = jobs_.at(job);
   ++j.starts;
@@ -17,20 +18,24 @@
     const auto machine = workers_.find(id);
     if (machine == workers_.end() || machine->second.phase != Worker::Phase::up) continue;
     const Worker& o = machine->second;
-    for (auto it = o.tasks.lower_bound({job, 0}); it != o.tasks.end() && it->first.first == job; ++it) {
+    for (auto it = o.tasks.lower_bound({job, 0}); it != o.tasks.end() && it->first.first == job;
+         ++it) {
       const auto& [key, t] = *it;
       if (!on_machine(t)) continue;
       if (key.second == task && id != w.id)
-        fail(std::string("ran_twice: ").append(job).append("/").append(std::to_string(task)) + " on " + id + " and " + w.id);
+        fail(std::string("ran_twice: ").append(job).append("/").append(std::to_string(task)) +
+             " on " + id + " and " + w.id);
       // Stricter than the protocol, which forbids only the same task and other zones.
       if (j.spec.kind == store::JobKind::gang && t.heartbeat.attempt != attempt)
-        fail("two attempts: " + job + " " + std::to_string(t.heartbeat.attempt) + " and " + std::to_string(attempt));
+        fail("two attempts: " + job + " " + std::to_string(t.heartbeat.attempt) + " and " +
+             std::to_string(attempt));
       zones[o.zone]++;
       ++others;
     }
   }
   const auto& s = j.spec;
-  if (!type_allowed(s, w.type) || (s.zone && *s.zone != w.zone) || (w.spot && !s.spot)) fail("wrong_place: " + job);
+  if (!type_allowed(s, w.type) || (s.zone && *s.zone != w.zone) || (w.spot && !s.spot))
+    fail("wrong_place: " + job);
   if (s.one_zone && zones[w.zone] != others) fail("wrong_place: " + job + " in two zones");
   if (s.spread && zones[w.zone] > (s.tasks + 1) / 2) fail("wrong_place: " + job + " is not spread");
 }
@@ -51,7 +56,8 @@
   if (w.phase != Worker::Phase::up || now_ < w.hang_until) return;
   for (const auto& [key, t] : w.tasks) {
     const Job& j = jobs_.at(key.first);
-    if (on_machine(t) && j.cancel_told && now_ - j.cancel_told_at > settings_.cancel_s) fail("ran_cancelled: " + key.first);
+    if (on_machine(t) && j.cancel_told && now_ - j.cancel_told_at > settings_.cancel_s)
+      fail("ran_cancelled: " + key.first);
   }
 }
 
@@ -72,13 +78,14 @@
   for (const auto& [team, resources] : now) usage_[team].add(resources);
 }
 
-// What the count holds of tasks that ended elsewhere meanwhile is taken out before anything is called broken.
+// What the count holds of tasks that ended elsewhere meanwhile is taken out before anything is
+// called broken.
 void ClusterSimulation::recheck_quotas(const Worker& w) {
   count_usage(w);
   const auto over = [this](const store::TeamSettings& team) {
     const auto used = usage_.find(team.name);
-    return used != usage_.end() &&
-           (used->second.cpus > team.quota.cpus + 1e-6 || used->second.gpus > team.quota.gpus + 1e-6);
+    return used != usage_.end() && (used->second.cpus > team.quota.cpus + 1e-6 ||
+                                    used->second.gpus > team.quota.gpus + 1e-6);
   };
   if (std::any_of(settings_.teams.begin(), settings_.teams.end(), over)) check_rules();
 }
@@ -86,7 +93,8 @@
 void ClusterSimulation::check_quotas() {
   for (const auto& t : settings_.teams) {
     const auto used = usage_.find(t.name);
-    if (used != usage_.end() && (used->second.cpus > t.quota.cpus + 1e-6 || used->second.gpus > t.quota.gpus + 1e-6))
+    if (used != usage_.end() &&
+        (used->second.cpus > t.quota.cpus + 1e-6 || used->second.gpus > t.quota.gpus + 1e-6))
       fail("quota: " + t.name);
   }
 }
--- a/tests/simulation/simulated_controller.cpp
+++ b/tests/simulation/simulated_controller.cpp
@@ -32,9 +32,11 @@
 class EarlierController final : public SimulatedController {
  public:
   EarlierController(const previous_versions::Version& version, const ControllerStart& s)
-      : controller_(version.start({exchange::save(s.settings), exchange::save(s.operators), s.incarnation, s.seed})) {}
+      : controller_(version.start(
+            {exchange::save(s.settings), exchange::save(s.operators), s.incarnation, s.seed})) {}
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock) override {
-    const std::vector<Command> batch(std::make_move_iterator(commands.begin()), std::make_move_iterator(commands.end()));
+    const std::vector<Command> batch(std::make_move_iterator(commands.begin()),
+                                     std::make_move_iterator(commands.end()));
     commands.clear();
     std::vector<Effect> effects;
     exchange::load(controller_->handle(exchange::save(batch), clock.steady, clock.wall), effects);
@@ -47,7 +49,8 @@
 
 }  // namespace
 
-std::unique_ptr<SimulatedController> start_controller(ControllerVersion version, const ControllerStart& start) {
+std::unique_ptr<SimulatedController> start_controller(ControllerVersion version,
+                                                      const ControllerStart& start) {
   switch (version) {
     case ControllerVersion::commit_9fefab8:
       return std::make_unique<EarlierController>(previous_versions::commit_9fefab8(), start);
--- a/tests/simulation/simulated_controller.h
+++ b/tests/simulation/simulated_controller.h
@@ -33,6 +33,7 @@
   coordination::LogLine::Level log_level = coordination::LogLine::Level::error;
 };
 
-std::unique_ptr<SimulatedController> start_controller(ControllerVersion version, const ControllerStart& start);
+std::unique_ptr<SimulatedController> start_controller(ControllerVersion version,
+                                                      const ControllerStart& start);
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,4 +1,5 @@
-// The stand-in of the users: submissions, polls and cancellations, each repeated as the protocol has it.
+// The stand-in of the users: submissions, polls and cancellations, each repeated as the protocol
+// has it.
 #include <algorithm>
 
 #include "simulation/cluster_simulation.h"
@@ -68,7 +69,8 @@
   if (now_ >= looks_until_) return;
   for (int n = 0; n < options_.nodes; ++n) {
     for (int i = 0; i < 3; ++i) ask(id, now_ + std::uniform_real_distribution<>(0, 0.02)(rng_), n);
-    at(now_ + std::uniform_real_distribution<>(0, 0.02)(rng_), [this, id, n] { repeat_submission(id, n); });
+    at(now_ + std::uniform_real_distribution<>(0, 0.02)(rng_),
+       [this, id, n] { repeat_submission(id, n); });
   }
   if (jobs_.at(id).done_told && rng_() % 2) {
     // Too late: the answer is that it is done, from whatever node.
@@ -86,14 +88,17 @@
       },
       [this, id, was_done, was_cancelled](std::optional<AnswerUser> a) {
         if (!a || a->status == 503 || a->status == 429) return;
-        if (a->status != 200) return fail("forgotten: repeated submission of " + id + " gets " + std::to_string(a->status));
+        if (a->status != 200)
+          return fail("forgotten: repeated submission of " + id + " gets " +
+                      std::to_string(a->status));
         if ((was_done && a->job->status != store::JobStatus::done) ||
             (was_cancelled && a->job->status != store::JobStatus::cancelled))
           fail("went_back: repeated submission of " + id);
       });
 }
 
-void ClusterSimulation::user_query(const std::string& id, int node, const std::function<void()>& then) {
+void ClusterSimulation::user_query(const std::string& id, int node,
+                                   const std::function<void()>& then) {
   // Answers may cross: only what was sent after an older answer arrived has to be as new.
   const bool was_done = jobs_.at(id).done_told, was_cancelled = jobs_.at(id).cancel_told;
   user_ask(
@@ -106,7 +111,9 @@
         if (a && a->status == 404) fail("forgotten: " + id + " gets 404");
         if (a && a->status == 200) {
           const auto status = a->job->status;
-          j.last_told = status == store::JobStatus::done ? "done" : status == store::JobStatus::open ? "open" : "cancelled";
+          j.last_told = status == store::JobStatus::done   ? "done"
+                        : status == store::JobStatus::open ? "open"
+                                                           : "cancelled";
           if (status == store::JobStatus::done) {
             if (!std::exchange(j.done_told, true)) look_closely(id);
             if (j.completed.size() != j.spec.tasks) fail("not_done: " + id);
@@ -114,7 +121,8 @@
           } else if (was_done || (was_cancelled && status == store::JobStatus::open)) {
             fail("went_back: " + id);
           }
-          if (status == store::JobStatus::cancelled && !j.user_cancelled) fail("went_back: " + id + " nobody cancelled");
+          if (status == store::JobStatus::cancelled && !j.user_cancelled)
+            fail("went_back: " + id + " nobody cancelled");
           if (status == store::JobStatus::cancelled) note_cancelled(j);
         }
         then();
@@ -142,16 +150,23 @@
           if (a->job->status == store::JobStatus::cancelled) note_cancelled(j);
           if (was_done && a->job->status != store::JobStatus::done)
             fail("went_back: cancellation of " + id + ", which is done");
-          if (a->job->status == store::JobStatus::open) fail("cancellation of " + id + " answered with an open job");
+          if (a->job->status == store::JobStatus::open)
+            fail("cancellation of " + id + " answered with an open job");
           return;
         }
         if (tries < 60) at(now_ + 1, [this, id, tries, node] { user_cancel(id, tries + 1, node); });
       });
 }
 
-std::optional<std::string> ClusterSimulation::told(const std::string& job) const { return jobs_.at(job).last_told; }
-bool ClusterSimulation::cancel_told(const std::string& job) const { return jobs_.at(job).cancel_told; }
-bool ClusterSimulation::called_off_by_user(const std::string& job) const { return jobs_.at(job).user_cancelled; }
+std::optional<std::string> ClusterSimulation::told(const std::string& job) const {
+  return jobs_.at(job).last_told;
+}
+bool ClusterSimulation::cancel_told(const std::string& job) const {
+  return jobs_.at(job).cancel_told;
+}
+bool ClusterSimulation::called_off_by_user(const std::string& job) const {
+  return jobs_.at(job).user_cancelled;
+}
 bool ClusterSimulation::accepted(const std::string& job) const { return jobs_.at(job).accepted; }
 uint64_t ClusterSimulation::starts_of(const std::string& job) const { return jobs_.at(job).starts; }
 uint64_t ClusterSimulation::starts_in_attempt(const std::string& job, uint64_t attempt) const {
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -62,9 +62,10 @@
         t.heartbeat.cause = ExitCause::done;
         auto& j = jobs_.at(key.first);
         j.completed.insert(key.second);
-        if (now_ < ends_until_ && j.completed.size() == spec.tasks && j.accepted && !j.user_cancelled &&
-            std::uniform_real_distribution<>(0, 1)(rng_) < ends_share_)
-          at(now_ + std::uniform_real_distribution<>(0, 0.1)(rng_), [this, id = key.first] { called_off(id); });
+        if (now_ < ends_until_ && j.completed.size() == spec.tasks && j.accepted &&
+            !j.user_cancelled && std::uniform_real_distribution<>(0, 1)(rng_) < ends_share_)
+          at(now_ + std::uniform_real_distribution<>(0, 0.1)(rng_),
+             [this, id = key.first] { called_off(id); });
       }
     } else if (t.heartbeat.state == TaskState::saving && now_ - t.last_step >= spec.save_s) {
       auto& j = jobs_.at(key.first);
@@ -96,17 +97,21 @@
         continue;
       }
       const auto& spec = job->second.spec;
-      const auto type = std::find_if(types_.begin(), types_.end(), [&](const auto& x) { return x.name == w.type; });
+      const auto type = std::find_if(types_.begin(), types_.end(),
+                                     [&](const auto& x) { return x.name == w.type; });
       store::Resources free = type->size;
       for (const auto& [k, other] : w.tasks)
-        if (other.heartbeat.state != TaskState::exited) free.add(jobs_.at(k.first).spec.per_task, -1);
+        if (other.heartbeat.state != TaskState::exited)
+          free.add(jobs_.at(k.first).spec.per_task, -1);
       if (!spec.per_task.fits(free)) {
         t.heartbeat.state = TaskState::exited;
         t.heartbeat.cause = ExitCause::no_room;
       } else {
-        t.fetch_until = now_ + (w.images.count(spec.image) ? 0 : spec.image_gb / type->fetch_gb_per_s);
-        t.remaining =
-            job->second.completed.count(c.task) ? 0 : spec.estimate_s * options_.run_factor * (1 + options_.uneven * c.task);
+        t.fetch_until =
+            now_ + (w.images.count(spec.image) ? 0 : spec.image_gb / type->fetch_gb_per_s);
+        t.remaining = job->second.completed.count(c.task)
+                          ? 0
+                          : spec.estimate_s * options_.run_factor * (1 + options_.uneven * c.task);
       }
       w.tasks[key] = t;
       machines_of_job_[c.job].insert(w.id);
@@ -116,7 +121,8 @@
         if (r.state == TaskState::exited) w.tasks.erase(it);
       } else if (r.state != TaskState::exited) {
         const auto& spec = jobs_.at(c.job).spec;
-        if (spec.kind == store::JobKind::gang && r.state == TaskState::running && c.grace_s >= spec.save_s) {
+        if (spec.kind == store::JobKind::gang && r.state == TaskState::running &&
+            c.grace_s >= spec.save_s) {
           auto& j = jobs_.at(c.job);
           if (j.first_stop_at < 0) j.first_stop_at = now_;
           if (now_ - j.first_stop_at <= options_.gang_peer_s) j.told_to_stop.insert(c.task);
@@ -170,7 +176,8 @@
   if (now_ < copies_kept_until_ && kept_copies_.size() < kMostCopies)
     for (size_t n = 0; n < nodes_.size(); ++n)
       kept_copies_.push_back([this, n, heartbeat] {
-        if (nodes_[n].alive) deliver(static_cast<int>(n), HandleHeartbeat{next_request_++, heartbeat});
+        if (nodes_[n].alive)
+          deliver(static_cast<int>(n), HandleHeartbeat{next_request_++, heartbeat});
       });
   const double give_up = nodes_[target].alive && !mute ? 4 : 0.01;
   at(now_ + give_up, [this, id, serial] {
--- a/tests/slot_index_test.cpp
+++ b/tests/slot_index_test.cpp
@@ -10,15 +10,17 @@
 using namespace coordination;
 
 const std::vector<store::MachineType>& types() {
-  static const std::vector<store::MachineType> all = {{"small", {16, 0, 64}, 50, 1, 1, 0.4, 8, {"a", "b"}},
-                                                      {"large", {32, 0, 128}, 50, 1, 2, 0.8, 8, {"a", "b"}},
-                                                      {"gpu", {48, 8, 384}, 300, 4, 20, 7, 10, {"a", "b"}}};
+  static const std::vector<store::MachineType> all = {
+      {"small", {16, 0, 64}, 50, 1, 1, 0.4, 8, {"a", "b"}},
+      {"large", {32, 0, 128}, 50, 1, 2, 0.8, 8, {"a", "b"}},
+      {"gpu", {48, 8, 384}, 300, 4, 20, 7, 10, {"a", "b"}}};
   return all;
 }
 
 Slot any_slot() {
   const auto& type = types()[*rc::gen::inRange<size_t>(0, types().size())];
-  Slot slot{"", &type, &type.zones[*rc::gen::inRange<size_t>(0, 2)], *rc::gen::arbitrary<bool>(), type.size};
+  Slot slot{"", &type, &type.zones[*rc::gen::inRange<size_t>(0, 2)], *rc::gen::arbitrary<bool>(),
+            type.size};
   slot.empty = *rc::gen::arbitrary<bool>();
   if (slot.empty) return slot;
   slot.pinned = *rc::gen::arbitrary<bool>();
@@ -29,7 +31,8 @@
 
 store::JobSpec any_spec() {
   store::JobSpec spec;
-  spec.per_task = {static_cast<double>(*rc::gen::inRange(1, 9)), static_cast<double>(*rc::gen::element(0, 0, 1, 2, 4)),
+  spec.per_task = {static_cast<double>(*rc::gen::inRange(1, 9)),
+                   static_cast<double>(*rc::gen::element(0, 0, 1, 2, 4)),
                    static_cast<double>(*rc::gen::inRange(1, 40))};
   spec.tasks = *rc::gen::inRange<uint32_t>(1, 9);
   spec.spot = *rc::gen::arbitrary<bool>();
@@ -45,11 +48,13 @@
   fit.cpu_per_gpu = cpu_per_gpu;
   fit.strand_gpus = *rc::gen::arbitrary<bool>();
   fit.spot_only = *rc::gen::inRange(0, 4) == 0;
-  fit.reserve = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)), static_cast<double>(*rc::gen::element(1, 2, 4))};
+  fit.reserve = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)),
+                 static_cast<double>(*rc::gen::element(1, 2, 4))};
   return fit;
 }
 
-ptrdiff_t place_by_search(const store::JobSpec& spec, const ZoneCounts& zones, std::vector<Slot>& slots, const Fit& fit) {
+ptrdiff_t place_by_search(const store::JobSpec& spec, const ZoneCounts& zones,
+                          std::vector<Slot>& slots, const Fit& fit) {
   const Slot* slot = select_slot(spec, zones, slots, fit);
   return slot ? slot - slots.data() : -1;
 }
@@ -91,7 +96,8 @@
   }
 }
 
-// Two GPUs and the CPUs that their task takes: room that is kept for work that can run nowhere else.
+// Two GPUs and the CPUs that their task takes: room that is kept for work that can run nowhere
+// else.
 TEST(SlotIndex, TheReserveKeepsWorkWithoutGpusAway) {
   const auto& gpu = types()[2];
   Slot slot{"", &gpu, &gpu.zones[0], false, {9, 2, 100}};
@@ -112,7 +118,8 @@
   EXPECT_TRUE(index.select_slot(spec, {}, fit));
 }
 
-// Looks at groups and slots for as many tasks as machines, of four shapes in turn, until the machines are full.
+// Looks at groups and slots for as many tasks as machines, of four shapes in turn, until the
+// machines are full.
 uint64_t looked_at_to_fill(size_t machines, double reserved_gpus) {
   SlotIndex index;
   index.reset(4);
@@ -132,14 +139,17 @@
   return index.looked_at();
 }
 
-// A search over all machines for each task took the leader of 4,000 machines more than its share of a core.
+// A search over all machines for each task took the leader of 4,000 machines more than its share of
+// a core.
 TEST(SlotIndex, TheWorkOfAPlanGrowsWithItsTasks) {
   constexpr size_t kFew = 500;
   constexpr uint64_t kTimes = 8;
   EXPECT_LE(looked_at_to_fill(kFew * kTimes, 0), looked_at_to_fill(kFew, 0) * kTimes * 3 / 2);
-  // A reserve that stays, one that grows with the fleet, and one for which there is too little room.
+  // A reserve that stays, one that grows with the fleet, and one for which there is too little
+  // room.
   EXPECT_LE(looked_at_to_fill(kFew * kTimes, 20), looked_at_to_fill(kFew, 20) * kTimes * 3 / 2);
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, kFew * kTimes), looked_at_to_fill(kFew, kFew) * kTimes * 3 / 2);
+  EXPECT_LE(looked_at_to_fill(kFew * kTimes, kFew * kTimes),
+            looked_at_to_fill(kFew, kFew) * kTimes * 3 / 2);
   EXPECT_LE(looked_at_to_fill(kFew * kTimes, 1e6), looked_at_to_fill(kFew, 1e6) * kTimes * 3 / 2);
 }
 
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,5 +1,6 @@
-// Controllers that get too little processor time: batches that take long, commands that wait unread, decisions that
-// leave late. The rules hold, nobody is judged for it, and all are served once there is time again.
+// Controllers that get too little processor time: batches that take long, commands that wait
+// unread, decisions that leave late. The rules hold, nobody is judged for it, and all are served
+// once there is time again.
 #include <gtest/gtest.h>
 
 #include "simulation/cluster_simulation.h"
@@ -33,8 +34,9 @@
   return options;
 }
 
-// A holder that stood still reads a few reports first, while the others wait. Whoever stands still for as long as a machine
-// may be silent has lost its lease, and with it the right to judge, long before.
+// A holder that stood still reads a few reports first, while the others wait. Whoever stands still
+// for as long as a machine may be silent has lost its lease, and with it the right to judge, long
+// before.
 TEST(Starvation, MachinesWhoseReportsWaitUnreadAreNotCondemned) {
   for (uint64_t seed = 1; seed <= 20; ++seed) {
     auto options = fleet();
@@ -54,7 +56,8 @@
   }
 }
 
-// Polls are shed first, at once and with a time to come back; what users want written is still taken.
+// Polls are shed first, at once and with a time to come back; what users want written is still
+// taken.
 TEST(Starvation, PollsAreShedAndSubmissionsTaken) {
   ClusterSimulation w(fleet());
   w.submit(service("job-1", 2), 3);
@@ -72,7 +75,8 @@
   EXPECT_TRUE(w.broken.empty()) << first(w);
 }
 
-// One pause of any length between a decision and its sending, longer than the controller's lease among them.
+// One pause of any length between a decision and its sending, longer than the controller's lease
+// among them.
 TEST(Starvation, ADecisionThatLeavesLateBreaksNoRule) {
   for (const double pause : {1.0, 4.0, 12.0, 25.0, 40.0}) {
     for (uint64_t seed = 1; seed <= 4; ++seed) {
@@ -87,8 +91,10 @@
       w.starve_node(w.owner_of("job-0").value(), 0.1, pause);
       w.run_until(160);
       EXPECT_TRUE(w.broken.empty()) << first(w) << ", pause " << pause << ", seed " << seed;
-      for (int i = 0; i < 12; i += 2) EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << pause << " " << seed;
-      for (int i = 1; i < 12; i += 2) EXPECT_EQ(w.running("job-" + std::to_string(i)), 0u) << pause << " " << seed;
+      for (int i = 0; i < 12; i += 2)
+        EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << pause << " " << seed;
+      for (int i = 1; i < 12; i += 2)
+        EXPECT_EQ(w.running("job-" + std::to_string(i)), 0u) << pause << " " << seed;
     }
   }
 }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -11,7 +11,8 @@
 RC_GTEST_PROP(Store, TaskSetsBehaveLikeSets, ()) {
   TaskSet runs;
   std::set<uint32_t> plain;
-  for (const auto t : *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange<uint32_t>(0, 60))) {
+  for (const auto t :
+       *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange<uint32_t>(0, 60))) {
     runs.insert(t);
     plain.insert(t);
   }
@@ -54,7 +55,8 @@
 TEST(Store, RecordsSurviveTheirForm) {
   const auto j = to_json(job_record());
   EXPECT_EQ(to_json(job_record_from_json(j)), j);
-  MachineRecord m{"n-1", "1.2.3.4:5", "g", "a", true, 2, 1, true, MachinePhase::reassignment_requested, 5};
+  MachineRecord m{
+      "n-1", "1.2.3.4:5", "g", "a", true, 2, 1, true, MachinePhase::reassignment_requested, 5};
   EXPECT_EQ(to_json(machine_record_from_json(to_json(m))), to_json(m));
 }
 
--- a/tests/support/effect_digest.cpp
+++ b/tests/support/effect_digest.cpp
@@ -25,7 +25,8 @@
   ~RunningHash() {
     if (effects_ == 0) return;
     std::ofstream out(file_, std::ios::app);
-    out << std::hex << std::setw(16) << std::setfill('0') << hash_ << std::dec << ' ' << effects_ << '\n';
+    out << std::hex << std::setw(16) << std::setfill('0') << hash_ << std::dec << ' ' << effects_
+        << '\n';
   }
   void add(const std::string& field) {
     for (const char c : field) mix(static_cast<unsigned char>(c));
--- a/tests/versions/current_fields.h
+++ b/tests/versions/current_fields.h
@@ -1,5 +1,6 @@
-// The fields of the core's structs as it stands today. Each struct has its own list, so that a renamed field does not
-// compile; the names in quotes are those of the JSON form that all versions share, and stay.
+// The fields of the core's structs as it stands today. Each struct has its own list, so that a
+// renamed field does not compile; the names in quotes are those of the JSON form that all versions
+// share, and stay.
 #pragma once
 #include "versions/exchange.h"
 
@@ -18,14 +19,18 @@
 }
 template <class A, OneOf<store::JobSpec> V>
 void describe(A& a, V& v) {
-  a("id", v.id)("class", v.job_class)("team", v.team)("kind", v.kind)("rank", v.rank)("tasks", v.tasks);
-  a("per_task", v.per_task)("types", v.types)("zone", v.zone)("one_zone", v.one_zone)("spread", v.spread)("spot", v.spot);
-  a("image", v.image)("image_gb", v.image_gb)("estimate_s", v.estimate_s)("checkpoint_s", v.checkpoint_s);
+  a("id", v.id)("class", v.job_class)("team", v.team)("kind", v.kind)("rank", v.rank)("tasks",
+                                                                                      v.tasks);
+  a("per_task", v.per_task)("types", v.types)("zone", v.zone)("one_zone", v.one_zone)(
+      "spread", v.spread)("spot", v.spot);
+  a("image", v.image)("image_gb", v.image_gb)("estimate_s", v.estimate_s)("checkpoint_s",
+                                                                          v.checkpoint_s);
   a("save_s", v.save_s)("deadline_s", v.deadline_s);
 }
 template <class A, OneOf<store::MachineType> V>
 void describe(A& a, V& v) {
-  a("name", v.name)("size", v.size)("cache_gb", v.cache_gb)("fetch", v.fetch_gb_per_s)("price", v.price);
+  a("name", v.name)("size", v.size)("cache_gb", v.cache_gb)("fetch", v.fetch_gb_per_s)("price",
+                                                                                       v.price);
   a("spot_price", v.spot_price)("boot_s", v.boot_s)("zones", v.zones);
 }
 template <class A, OneOf<store::TeamSettings> V>
@@ -42,18 +47,25 @@
 }
 template <class A, OneOf<store::Settings> V>
 void describe(A& a, V& v) {
-  a("node", v.node)("zone", v.zone)("listen", v.listen)("peer_listen", v.peer_listen)("cloud", v.cloud)("state", v.state);
-  a("peers", v.peers)("nodes", v.nodes)("zones", v.zones)("clock_error_s", v.clock_error_s)("teams", v.teams);
-  a("objectives", v.objectives)("report_s", v.heartbeat_interval_s)("lease_s", v.lease_s)("cancel_s", v.cancel_s);
-  a("state_rps", v.state_rps)("state_write_rps", v.state_write_rps)("value_kb", v.value_kb)("txn_ops", v.txn_ops);
-  a("cloud_rps", v.cloud_rps)("list_lag_s", v.list_lag_s)("cpu_share", v.cpu_share)("memory_mb", v.memory_mb);
+  a("node", v.node)("zone", v.zone)("listen", v.listen)("peer_listen", v.peer_listen)(
+      "cloud", v.cloud)("state", v.state);
+  a("peers", v.peers)("nodes", v.nodes)("zones", v.zones)("clock_error_s", v.clock_error_s)(
+      "teams", v.teams);
+  a("objectives", v.objectives)("report_s", v.heartbeat_interval_s)("lease_s", v.lease_s)(
+      "cancel_s", v.cancel_s);
+  a("state_rps", v.state_rps)("state_write_rps", v.state_write_rps)("value_kb", v.value_kb)(
+      "txn_ops", v.txn_ops);
+  a("cloud_rps", v.cloud_rps)("list_lag_s", v.list_lag_s)("cpu_share", v.cpu_share)("memory_mb",
+                                                                                    v.memory_mb);
   a("max_connections", v.max_connections);
   a("gang_wait_s", v.gang_wait_s)("gang_peer_s", v.gang_peer_s)("next_write_rps", v.next_write_rps);
 }
 template <class A, OneOf<store::OperatorSettings> V>
 void describe(A& a, V& v) {
-  a("requeue_delay_s", v.requeue_delay_s)("scan_period_s", v.scan_period_s)("share_period_s", v.share_period_s);
-  a("preemptible", v.preemptible)("reclaim_guarantee", v.reclaim_guarantee)("consolidate", v.consolidate);
+  a("requeue_delay_s", v.requeue_delay_s)("scan_period_s", v.scan_period_s)("share_period_s",
+                                                                            v.share_period_s);
+  a("preemptible", v.preemptible)("reclaim_guarantee", v.reclaim_guarantee)("consolidate",
+                                                                            v.consolidate);
   a("team_shares", v.team_shares);
 }
 template <class A, OneOf<store::Change> V>
@@ -66,7 +78,8 @@
 }
 template <class A, OneOf<CloudMachine> V>
 void describe(A& a, V& v) {
-  a("id", v.id)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)("state", v.state)("age_s", v.age_s);
+  a("id", v.id)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)(
+      "state", v.state)("age_s", v.age_s);
 }
 template <class A, OneOf<JobView> V>
 void describe(A& a, V& v) {
@@ -214,7 +227,8 @@
 }
 template <class A, OneOf<PushCommands> V>
 void describe(A& a, V& v) {
-  a("address", v.address)("token", v.fencing_token)("session", v.agent_epoch)("commands", v.commands);
+  a("address", v.address)("token", v.fencing_token)("session", v.agent_epoch)("commands",
+                                                                              v.commands);
 }
 template <class A, OneOf<SendPeerState> V>
 void describe(A& a, V& v) {
@@ -225,16 +239,19 @@
   a("address", v.address)("report", v.heartbeat);
 }
 
-// ---- messages between controllers: these go by their own codec, the fields serve generated values ----
+// ---- messages between controllers: these go by their own codec, the fields serve generated values
+// ----
 
 template <class A, OneOf<ReportedTask> V>
 void describe(A& a, V& v) {
-  a("job", v.job)("task", v.task)("attempt", v.attempt)("state", v.state)("cause", v.cause)("saved", v.saved);
+  a("job", v.job)("task", v.task)("attempt", v.attempt)("state", v.state)("cause", v.cause)(
+      "saved", v.saved);
 }
 template <class A, OneOf<Heartbeat> V>
 void describe(A& a, V& v) {
-  a("machine", v.machine)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)("session", v.agent_epoch)(
-      "seq", v.sequence)("token", v.fencing_token)("notice_s", v.notice_s)("tasks", v.tasks);
+  a("machine", v.machine)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)(
+      "session", v.agent_epoch)("seq", v.sequence)("token", v.fencing_token)(
+      "notice_s", v.notice_s)("tasks", v.tasks);
 }
 template <class A, OneOf<HeartbeatResponse> V>
 void describe(A& a, V& v) {
@@ -254,9 +271,10 @@
 }
 template <class A, OneOf<PeerState> V>
 void describe(A& a, V& v) {
-  a("node", v.node)("incarnation", v.incarnation)("has_state", v.has_state_store)("synced", v.synced)("backlog", v.backlog)(
-      "parts", v.shards)("heard", v.machines_heard)("nodes", v.nodes)("at", v.at)("revision", v.revision)(
-      "current_age_s", v.current_age_s)("has", v.acknowledged)("handover", v.offered_cancellations)("version", v.version)(
+  a("node", v.node)("incarnation", v.incarnation)("has_state", v.has_state_store)(
+      "synced", v.synced)("backlog", v.backlog)("parts", v.shards)("heard", v.machines_heard)(
+      "nodes", v.nodes)("at", v.at)("revision", v.revision)("current_age_s", v.current_age_s)(
+      "has", v.acknowledged)("handover", v.offered_cancellations)("version", v.version)(
       "record_format", v.record_format)("budget_need", v.budget_need);
 }
 
@@ -268,11 +286,15 @@
   return std::move(*value);
 }
 
-inline Json save_message(PeerWire, const PeerState& v) { return protocol::encode(AnswerPeer{0, v}).body; }
+inline Json save_message(PeerWire, const PeerState& v) {
+  return protocol::encode(AnswerPeer{0, v}).body;
+}
 inline Json save_message(PeerWire, const HeartbeatResponse& v) {
   return protocol::encode(AnswerForwardedHeartbeat{0, v}).body;
 }
-inline Json save_message(PeerWire, const Heartbeat& v) { return protocol::encode(Call{0, 0, ForwardHeartbeat{"", v}}).body; }
+inline Json save_message(PeerWire, const Heartbeat& v) {
+  return protocol::encode(Call{0, 0, ForwardHeartbeat{"", v}}).body;
+}
 
 inline void load_message(PeerWire, const std::string& body, PeerState& v) {
   v = decoded_reply<PeerState>(body, CallBody(SendPeerState{}).index());
--- a/tests/versions/earlier_fields.h
+++ b/tests/versions/earlier_fields.h
@@ -1,5 +1,6 @@
-// The fields of the core's structs in the earlier versions that the tests link, by the names that they had there. Compiled
-// once for each of them with its headers, so what only some of them have is asked for first.
+// The fields of the core's structs in the earlier versions that the tests link, by the names that
+// they had there. Compiled once for each of them with its headers, so what only some of them have
+// is asked for first.
 #pragma once
 #include "versions/exchange.h"
 
@@ -10,61 +11,84 @@
 // ---- the fields of each struct ----
 
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Resources> {
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Resources> {
   a("cpus", v.cpus)("gpus", v.gpus)("memory_gb", v.memory_gb);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::JobSpec> {
-  a("id", v.id)("class", v.job_class)("team", v.team)("kind", v.kind)("rank", v.rank)("tasks", v.tasks);
-  a("per_task", v.per_task)("types", v.types)("zone", v.zone)("one_zone", v.one_zone)("spread", v.spread)("spot", v.spot);
-  a("image", v.image)("image_gb", v.image_gb)("estimate_s", v.estimate_s)("checkpoint_s", v.checkpoint_s);
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::JobSpec> {
+  a("id", v.id)("class", v.job_class)("team", v.team)("kind", v.kind)("rank", v.rank)("tasks",
+                                                                                      v.tasks);
+  a("per_task", v.per_task)("types", v.types)("zone", v.zone)("one_zone", v.one_zone)(
+      "spread", v.spread)("spot", v.spot);
+  a("image", v.image)("image_gb", v.image_gb)("estimate_s", v.estimate_s)("checkpoint_s",
+                                                                          v.checkpoint_s);
   a("save_s", v.save_s)("deadline_s", v.deadline_s);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::MachineType> {
-  a("name", v.name)("size", v.size)("cache_gb", v.cache_gb)("fetch", v.fetch_gb_per_s)("price", v.price);
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::MachineType> {
+  a("name", v.name)("size", v.size)("cache_gb", v.cache_gb)("fetch", v.fetch_gb_per_s)("price",
+                                                                                       v.price);
   a("spot_price", v.spot_price)("boot_s", v.boot_s)("zones", v.zones);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::TeamSettings> {
+void describe(
+    A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::TeamSettings> {
   a("name", v.name)("guarantee", v.guarantee)("limit", v.limit);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Objective> {
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Objective> {
   a("kind", v.kind)("class", v.job_class)("within_s", v.within_s)("share", v.share);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::PeerSettings> {
+void describe(
+    A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::PeerSettings> {
   a("node", v.node)("zone", v.zone)("address", v.address);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Settings> {
-  a("node", v.node)("zone", v.zone)("listen", v.listen)("peer_listen", v.peer_listen)("cloud", v.cloud)("state", v.state);
-  a("peers", v.peers)("nodes", v.nodes)("zones", v.zones)("clock_error_s", v.clock_error_s)("teams", v.teams);
-  a("objectives", v.objectives)("report_s", v.report_s)("lease_s", v.lease_s)("cancel_s", v.cancel_s);
-  a("state_rps", v.state_rps)("state_write_rps", v.state_write_rps)("value_kb", v.value_kb)("txn_ops", v.txn_ops);
-  a("cloud_rps", v.cloud_rps)("list_lag_s", v.list_lag_s)("cpu_share", v.cpu_share)("memory_mb", v.memory_mb);
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Settings> {
+  a("node", v.node)("zone", v.zone)("listen", v.listen)("peer_listen", v.peer_listen)(
+      "cloud", v.cloud)("state", v.state);
+  a("peers", v.peers)("nodes", v.nodes)("zones", v.zones)("clock_error_s", v.clock_error_s)(
+      "teams", v.teams);
+  a("objectives", v.objectives)("report_s", v.report_s)("lease_s", v.lease_s)("cancel_s",
+                                                                              v.cancel_s);
+  a("state_rps", v.state_rps)("state_write_rps", v.state_write_rps)("value_kb", v.value_kb)(
+      "txn_ops", v.txn_ops);
+  a("cloud_rps", v.cloud_rps)("list_lag_s", v.list_lag_s)("cpu_share", v.cpu_share)("memory_mb",
+                                                                                    v.memory_mb);
   a("max_connections", v.max_connections);
-  if constexpr (requires { v.gang_wait_s; }) a("gang_wait_s", v.gang_wait_s)("gang_peer_s", v.gang_peer_s);
+  if constexpr (requires { v.gang_wait_s; })
+    a("gang_wait_s", v.gang_wait_s)("gang_peer_s", v.gang_peer_s);
   if constexpr (requires { v.next_write_rps; }) a("next_write_rps", v.next_write_rps);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::OperatorSettings> {
-  a("requeue_delay_s", v.requeue_delay_s)("scan_period_s", v.scan_period_s)("share_period_s", v.share_period_s);
-  a("preemptible", v.preemptible)("reclaim_guarantee", v.reclaim_guarantee)("consolidate", v.consolidate);
+void describe(A& a, auto& v) requires
+    std::same_as<std::remove_cvref_t<decltype(v)>, store::OperatorSettings> {
+  a("requeue_delay_s", v.requeue_delay_s)("scan_period_s", v.scan_period_s)("share_period_s",
+                                                                            v.share_period_s);
+  a("preemptible", v.preemptible)("reclaim_guarantee", v.reclaim_guarantee)("consolidate",
+                                                                            v.consolidate);
   a("team_shares", v.team_shares);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Change> {
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, store::Change> {
   a("key", v.key)("value", v.value)("stamp", v.stamp);
 }
 template <class A>
-void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, WorkerCommand> {
+void describe(A& a,
+              auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, WorkerCommand> {
   a("verb", v.verb)("job", v.job)("task", v.task)("attempt", v.attempt)("grace_s", v.grace_s);
 }
 template <class A>
 void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, CloudMachine> {
-  a("id", v.id)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)("state", v.state)("age_s", v.age_s);
+  a("id", v.id)("address", v.address)("type", v.type)("zone", v.zone)("spot", v.spot)(
+      "state", v.state)("age_s", v.age_s);
 }
 template <class A>
 void describe(A& a, auto& v) requires std::same_as<std::remove_cvref_t<decltype(v)>, JobView> {
@@ -133,9 +157,15 @@
   return std::move(*value);
 }
 
-inline Json save_message(PeerWire, const PeerState& v) { return protocol::encode(AnswerPeer{0, v}).body; }
-inline Json save_message(PeerWire, const ReportReply& v) { return protocol::encode(AnswerRelayedReport{0, v}).body; }
-inline Json save_message(PeerWire, const WorkerReport& v) { return protocol::encode(Call{0, 0, RelayReport{"", v}}).body; }
+inline Json save_message(PeerWire, const PeerState& v) {
+  return protocol::encode(AnswerPeer{0, v}).body;
+}
+inline Json save_message(PeerWire, const ReportReply& v) {
+  return protocol::encode(AnswerRelayedReport{0, v}).body;
+}
+inline Json save_message(PeerWire, const WorkerReport& v) {
+  return protocol::encode(Call{0, 0, RelayReport{"", v}}).body;
+}
 
 inline void load_message(PeerWire, const std::string& body, PeerState& v) {
   v = decoded_reply<PeerState>(body, CallBody(TellPeer{}).index());
--- a/tests/versions/exchange.h
+++ b/tests/versions/exchange.h
@@ -1,6 +1,7 @@
-// Any value of the core as JSON and back, by the fields that `describe` lists. Included by current_fields.h and
-// earlier_fields.h, each of which gives the fields of its version's structs; the JSON form is the same for all versions.
-// What a struct does not have is left out when it is written and passed over when it is read.
+// Any value of the core as JSON and back, by the fields that `describe` lists. Included by
+// current_fields.h and earlier_fields.h, each of which gives the fields of its version's structs;
+// the JSON form is the same for all versions. What a struct does not have is left out when it is
+// written and passed over when it is read.
 #pragma once
 #include <concepts>
 #include <optional>
@@ -30,8 +31,8 @@
   Reader& operator()(const char* name, T& value);
 };
 
-/// Chooses the functions save_message and load_message, which give what controllers say to each other the form that it
-/// has on the wire: so both versions' codecs are part of the test.
+/// Chooses the functions save_message and load_message, which give what controllers say to each
+/// other the form that it has on the wire: so both versions' codecs are part of the test.
 struct PeerWire {};
 
 template <class T>
--- a/tests/versions/previous_version.cpp
+++ b/tests/versions/previous_version.cpp
@@ -1,5 +1,5 @@
-// Compiled once for each earlier version, with its headers and with its namespace renamed by the build, which also
-// names the factory.
+// Compiled once for each earlier version, with its headers and with its namespace renamed by the
+// build, which also names the factory.
 #include "versions/previous_version.h"
 
 #include <deque>
@@ -20,7 +20,8 @@
   Json handle(const Json& commands, double steady, double wall) override {
     std::vector<Command> batch;
     load(commands, batch);
-    std::deque<Command> queue(std::make_move_iterator(batch.begin()), std::make_move_iterator(batch.end()));
+    std::deque<Command> queue(std::make_move_iterator(batch.begin()),
+                              std::make_move_iterator(batch.end()));
     return save(core_.handle(queue, {steady, wall}));
   }
 
@@ -38,7 +39,9 @@
 
 Json rewrite_job(const Json& record) { return to_json(store::job_record_from_json(record)); }
 
-Json rewrite_machine(const Json& record) { return to_json(store::machine_record_from_json(record)); }
+Json rewrite_machine(const Json& record) {
+  return to_json(store::machine_record_from_json(record));
+}
 
 /// Reads a value of the type and writes it again.
 template <class T>
@@ -57,7 +60,8 @@
   namespace exchange = rushtrestle::exchange;
   namespace coordination = rushtrestle::coordination;
   return {exchange::start, exchange::rewrite_job, exchange::rewrite_machine,
-          exchange::rewrite<std::vector<coordination::Command>>, exchange::rewrite<std::vector<coordination::Effect>>};
+          exchange::rewrite<std::vector<coordination::Command>>,
+          exchange::rewrite<std::vector<coordination::Effect>>};
 }
 
 }  // namespace previous_versions
--- a/tests/versions/previous_version.h
+++ b/tests/versions/previous_version.h
@@ -1,6 +1,6 @@
-// The boundary between the tests and earlier versions of the core that are linked into them. An earlier version is
-// compiled from the repository's history with its namespace renamed, so nothing here may name ours: all that passes
-// is JSON, in the form of versions/exchange.h.
+// The boundary between the tests and earlier versions of the core that are linked into them. An
+// earlier version is compiled from the repository's history with its namespace renamed, so nothing
+// here may name ours: all that passes is JSON, in the form of versions/exchange.h.
 #pragma once
 #include <cstdint>
 #include <memory>
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -10,7 +10,8 @@
 namespace rushtrestle::testing {
 namespace {
 
-constexpr ControllerVersion kEarlier[] = {ControllerVersion::commit_9fefab8, ControllerVersion::commit_a244c51};
+constexpr ControllerVersion kEarlier[] = {ControllerVersion::commit_9fefab8,
+                                          ControllerVersion::commit_a244c51};
 
 std::vector<previous_versions::Version> earlier_versions() {
   return {previous_versions::commit_9fefab8(), previous_versions::commit_a244c51()};
@@ -27,7 +28,8 @@
   r.attempts = rng() % 20;
   for (uint32_t t = 0; t < r.spec.tasks; ++t) {
     if (rng() % 3 == 0) r.done.insert(t);
-    if (rng() % 3 == 0) r.placed.push_back({t, "n-000231", r.attempts, rng() % 2 == 0, rng() % 2 == 0});
+    if (rng() % 3 == 0)
+      r.placed.push_back({t, "n-000231", r.attempts, rng() % 2 == 0, rng() % 2 == 0});
   }
   return r;
 }
@@ -57,7 +59,8 @@
   r.drain = rng() % 2;
   r.since = 1e9;
   const Json written = to_json(r);
-  for (const auto& version : earlier_versions()) RC_ASSERT(version.rewrite_machine(written) == written);
+  for (const auto& version : earlier_versions())
+    RC_ASSERT(version.rewrite_machine(written) == written);
 }
 
 struct Work {
@@ -81,12 +84,13 @@
     const std::string id = "job-" + std::to_string(i);
     ASSERT_TRUE(w.accepted(id)) << id;
     if (w.called_off_by_user(id)) continue;
-    EXPECT_TRUE(w.told(id) == "done" || w.running(id) > 0) << id << " " << w.stored("job/" + id)->dump();
+    EXPECT_TRUE(w.told(id) == "done" || w.running(id) > 0)
+        << id << " " << w.stored("job/" + id)->dump();
   }
 }
 
-// The controllers are replaced one after the other, in any order; between the steps old and new take each other's
-// parts over, and a process that dies before its turn comes back old.
+// The controllers are replaced one after the other, in any order; between the steps old and new
+// take each other's parts over, and a process that dies before its turn comes back old.
 TEST(Versions, ARollingUpgradeLosesNothing) {
   for (const auto earlier : kEarlier) {
     for (uint64_t seed = 1; seed <= 6; ++seed) {
@@ -102,7 +106,8 @@
       std::vector<int> order{0, 1, 2};
       std::shuffle(order.begin(), order.end(), rng);
       for (size_t i = 0; i < order.size(); ++i)
-        w.at(40 + 15 * static_cast<double>(i), [&w, n = order[i]] { w.replace_node(n, ControllerVersion::current, 5); });
+        w.at(40 + 15 * static_cast<double>(i),
+             [&w, n = order[i]] { w.replace_node(n, ControllerVersion::current, 5); });
       w.at(47, [&w, n = order[2]] { w.kill_node(n, 0.3); });
       w.at(62, [&w, n = order[0]] { w.kill_node(n, 4); });
       w.at(95, [&w] { w.lower_state_limits(); });
@@ -113,9 +118,10 @@
   }
 }
 
-// What no new controller can mend: a holder of 9fefab8 that the state service refuses alone, and then all, goes on
-// answering its workers though another controller has confirmed a cancellation (docs/operations.md says what to avoid
-// in an upgrade). The version after it keeps the rule beside today's.
+// What no new controller can mend: a holder of 9fefab8 that the state service refuses alone, and
+// then all, goes on answering its workers though another controller has confirmed a cancellation
+// (docs/operations.md says what to avoid in an upgrade). The version after it keeps the rule beside
+// today's.
 TEST(Versions, OnlyTheFirstVersionBreaksTheRuleOfCancellationsInAnOutage) {
   const auto broken_with = [](ControllerVersion lease_holder) {
     size_t broken = 0;
@@ -143,7 +149,8 @@
     }
     return broken;
   };
-  EXPECT_GT(broken_with(ControllerVersion::commit_9fefab8), 0u) << "the note in docs/operations.md can go";
+  EXPECT_GT(broken_with(ControllerVersion::commit_9fefab8), 0u)
+      << "the note in docs/operations.md can go";
   EXPECT_EQ(broken_with(ControllerVersion::commit_a244c51), 0u);
   EXPECT_EQ(broken_with(ControllerVersion::current), 0u);
 }
@@ -161,8 +168,9 @@
   return s;
 }
 
-// The first version fills a record up to the present limit; then all are replaced, the limit falls, and the job is called
-// off: its record can't be written again, and the user is told at once all the same, by whichever controller.
+// The first version fills a record up to the present limit; then all are replaced, the limit falls,
+// and the job is called off: its record can't be written again, and the user is told at once all
+// the same, by whichever controller.
 TEST(Versions, AJobWhoseRecordIsTooLargeForTheNewLimitIsCancelled) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
@@ -174,7 +182,8 @@
     w.submit(large_array(60, 500), 3);
     w.run_until(40);
     ASSERT_EQ(w.placed("job-1"), 60u);
-    for (int n = 0; n < 3; ++n) w.at(42 + 6 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 3); });
+    for (int n = 0; n < 3; ++n)
+      w.at(42 + 6 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 3); });
     w.at(75, [&w] { w.lower_state_limits(); });
     w.cancel("job-1", 80);
     if (seed % 2) w.at(80.05, [&w, seed] { w.kill_node(static_cast<int>(seed % 3), 0.3); });
@@ -192,7 +201,8 @@
   }
 }
 
-// While one controller of the version before serves, nobody writes what it would pass over: the user has to wait.
+// While one controller of the version before serves, nobody writes what it would pass over: the
+// user has to wait.
 TEST(Versions, NoCancellationStandsBesideARecordWhileAnEarlierVersionServes) {
   for (const auto earlier : kEarlier) {
     ClusterSimulation::Options options;
@@ -213,8 +223,9 @@
   }
 }
 
-// Ends of tasks, transactions without an answer or carried out late, and controllers that end, all about the moment of the
-// cancellation: whichever of the last end and the cancellation is first, it stands.
+// Ends of tasks, transactions without an answer or carried out late, and controllers that end, all
+// about the moment of the cancellation: whichever of the last end and the cancellation is first, it
+// stands.
 RC_GTEST_PROP(Versions, ACancellationBesideARecordIsNeverOvertaken, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto at = *rc::gen::inRange(600, 1400);
@@ -227,7 +238,8 @@
   for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
   ClusterSimulation w(options);
   w.submit(large_array(50, 45), 3);
-  for (int n = 0; n < 3; ++n) w.at(30 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
+  for (int n = 0; n < 3; ++n)
+    w.at(30 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
   w.at(50, [&w] { w.lower_state_limits(); });
   w.at(51, [&w, late] { w.unanswered_writes(60, 0.3, !late); });
   for (const int k : kills) w.at(k / 10.0, [&w, k] { w.kill_node(k % 3, k % 2 ? 0.3 : 4); });
@@ -238,8 +250,9 @@
   RC_ASSERT(w.told("job-1") == "cancelled" || w.told("job-1") == "done");
 }
 
-// All tasks end at once, and for some seconds no transaction gets an answer and each is carried out late, in any order: the
-// write of the end also after a cancellation beside the record was told. The job stays cancelled.
+// All tasks end at once, and for some seconds no transaction gets an answer and each is carried out
+// late, in any order: the write of the end also after a cancellation beside the record was told.
+// The job stays cancelled.
 TEST(Versions, ALateEndDoesNotOvertakeACancellationBesideTheRecord) {
   size_t told = 0;
   for (uint64_t seed = 1; seed <= 80; ++seed) {
@@ -249,7 +262,8 @@
     for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
     ClusterSimulation w(options);
     w.submit(large_array(50, 45), 3);
-    for (int n = 0; n < 3; ++n) w.at(20 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
+    for (int n = 0; n < 3; ++n)
+      w.at(20 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
     w.at(40, [&w] { w.lower_state_limits(); });
     w.run_until(50);
     while (w.now() < 80 && w.running("job-1") > 0) w.run_until(w.now() + 0.05);
@@ -273,16 +287,19 @@
       std::mt19937_64 rng(seed);
       const Work work;
       submit_work(w, rng, work);
-      for (int n = 0; n < 3; ++n) w.at(35 + 9 * n, [&w, n, earlier] { w.replace_node(n, earlier, 4); });
-      for (int n = 0; n < 3; ++n) w.at(90 + 9 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 4); });
+      for (int n = 0; n < 3; ++n)
+        w.at(35 + 9 * n, [&w, n, earlier] { w.replace_node(n, earlier, 4); });
+      for (int n = 0; n < 3; ++n)
+        w.at(90 + 9 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 4); });
       w.run_until(300);
       expect_served(w, work.jobs);
     }
   }
 }
 
-// Troubles in which 9fefab8 breaks rules by itself, whoever stands beside it: those that take the state service or the other
-// controllers from it (cancellations that it does not hear of), and transactions carried out late (docs/meetings.md).
+// Troubles in which 9fefab8 breaks rules by itself, whoever stands beside it: those that take the
+// state service or the other controllers from it (cancellations that it does not hear of), and
+// transactions carried out late (docs/meetings.md).
 bool first_version_withstands(const Fault& t) {
   static const std::set<int> not_withstood{2, 3, 9, 10, 15, 17, 23, 24};
   return not_withstood.count(t.kind) == 0;
@@ -302,9 +319,11 @@
   const Work work;
   submit_work(w, rng, work);
   for (int n = 0; n < 3; ++n)
-    w.at(turns[static_cast<size_t>(n)], [&w, n] { w.replace_node(n, ControllerVersion::current, n == 1 ? 0.3 : 5); });
+    w.at(turns[static_cast<size_t>(n)],
+         [&w, n] { w.replace_node(n, ControllerVersion::current, n == 1 ? 0.3 : 5); });
   for (const auto& t : schedule)
-    if (from != ControllerVersion::commit_9fefab8 || first_version_withstands(t)) w.at(t.at, [&w, t] { play(w, t); });
+    if (from != ControllerVersion::commit_9fefab8 || first_version_withstands(t))
+      w.at(t.at, [&w, t] { play(w, t); });
   w.at(115, [&w] { w.lower_state_limits(); });
   w.run_until(330);
   for (const auto& b : w.broken) RC_LOG() << b << "\n";
@@ -316,7 +335,9 @@
   }
 }
 
-RC_GTEST_PROP(Versions, NoScheduleOfTroublesBreaksARuleInAnUpgrade, ()) { play_upgrade(ControllerVersion::commit_a244c51); }
+RC_GTEST_PROP(Versions, NoScheduleOfTroublesBreaksARuleInAnUpgrade, ()) {
+  play_upgrade(ControllerVersion::commit_a244c51);
+}
 
 RC_GTEST_PROP(Versions, NoScheduleThatTheFirstVersionWithstandsBreaksARuleInAnUpgrade, ()) {
   play_upgrade(ControllerVersion::commit_9fefab8);
--- a/tests/write_path_test.cpp
+++ b/tests/write_path_test.cpp
@@ -1,4 +1,5 @@
-// A short budget of writes: what is gathered, what meets it, and what is lost with the controller that gathered it.
+// A short budget of writes: what is gathered, what meets it, and what is lost with the controller
+// that gathered it.
 #include <gtest/gtest.h>
 
 #include "simulation/cluster_simulation.h"
@@ -43,7 +44,8 @@
 
 /// Jobs of `tasks` each that run at the same time.
 void submit_jobs(ClusterSimulation& w, int jobs, uint32_t tasks, double at) {
-  for (int i = 0; i < jobs; ++i) w.submit(array("job-" + std::to_string(i), tasks, i % 2 ? "blue" : "red"), at + 0.1 * i);
+  for (int i = 0; i < jobs; ++i)
+    w.submit(array("job-" + std::to_string(i), tasks, i % 2 ? "blue" : "red"), at + 0.1 * i);
 }
 
 void expect_all_done(const ClusterSimulation& w, int jobs) {
@@ -63,8 +65,8 @@
   EXPECT_LE(w.work().job_writes, kJobs * 7);
 }
 
-// What ended and was not written yet is known to the worker, who keeps it until it is: the next owner neither runs it again
-// nor misses it.
+// What ended and was not written yet is known to the worker, who keeps it until it is: the next
+// owner neither runs it again nor misses it.
 TEST(WritePath, AnOwnerThatEndsWithGatheredEndsLosesNone) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     ClusterSimulation w(short_budget(seed));
@@ -72,7 +74,8 @@
     constexpr uint32_t kTasks = 12;
     submit_jobs(w, kJobs, kTasks, 30);
     // At different moments of their ends.
-    for (int n = 0; n < 3; ++n) w.at(48 + n + 0.2 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
+    for (int n = 0; n < 3; ++n)
+      w.at(48 + n + 0.2 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
     w.run_until(180);
     expect_all_done(w, kJobs);
     EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks) << seed;
@@ -94,7 +97,8 @@
   }
 }
 
-// The owner holds ends back when the job is called off: its write must not undo that, nor the other way round.
+// The owner holds ends back when the job is called off: its write must not undo that, nor the other
+// way round.
 TEST(WritePath, ACancellationMeetsGatheredEnds) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     ClusterSimulation w(short_budget(seed));
@@ -119,12 +123,14 @@
   submit_jobs(w, kJobs, 10, 30);
   w.run_until(50);
   for (size_t n = 0; n < 3; ++n) w.kill_machine(n);
-  for (int i = kJobs; i < kJobs + kLater; ++i) w.submit(array("job-" + std::to_string(i), 1, i % 2 ? "blue" : "red"), 50);
+  for (int i = kJobs; i < kJobs + kLater; ++i)
+    w.submit(array("job-" + std::to_string(i), 1, i % 2 ? "blue" : "red"), 50);
   w.run_until(300);
   expect_all_done(w, kJobs + kLater);
 }
 
-// One team's thousand tasks and an urgent job of another: it starts within seconds, though the budget is spent throughout.
+// One team's thousand tasks and an urgent job of another: it starts within seconds, though the
+// budget is spent throughout.
 TEST(WritePath, AnUrgentJobIsPlacedBesideAnotherTeamsFlood) {
   auto options = short_budget(7);
   options.nodes = 1;  // both teams are one controller's
@@ -158,14 +164,16 @@
   EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks);
 }
 
-// The address of a machine waits for a budget; until then its part's next owner knows it from the worker's reports alone.
+// The address of a machine waits for a budget; until then its part's next owner knows it from the
+// worker's reports alone.
 TEST(WritePath, AMachineWhoseAddressIsNotWrittenYetChangesItsOwner) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     ClusterSimulation w(short_budget(seed));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
     submit_jobs(w, kJobs, kTasks, 3);
-    for (int n = 0; n < 3; ++n) w.at(16 + 0.5 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
+    for (int n = 0; n < 3; ++n)
+      w.at(16 + 0.5 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
     w.run_until(200);
     expect_all_done(w, kJobs);
     EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks) << seed;
--- a/tests/write_queue_test.cpp
+++ b/tests/write_queue_test.cpp
@@ -28,8 +28,8 @@
     settings.cancel_s = 39;
     queue = std::make_unique<WriteQueue>(Tunables(settings), operators);
   }
-  QueuedWritePtr add(const std::string& key, WriteCause cause, double now, store::Rank rank = store::Rank::normal,
-                     const std::string& team = "red") {
+  QueuedWritePtr add(const std::string& key, WriteCause cause, double now,
+                     store::Rank rank = store::Rank::normal, const std::string& team = "red") {
     auto write = std::make_shared<QueuedWrite>();
     write->request.key = key;
     write->request.cause = cause;
@@ -38,10 +38,12 @@
     queue->add(write, now);
     return write;
   }
-  std::vector<std::string> next(double now, double level, size_t slots = kSlots, const std::set<std::string>& busy = {}) {
+  std::vector<std::string> next(double now, double level, size_t slots = kSlots,
+                                const std::set<std::string>& busy = {}) {
     std::vector<std::string> keys;
     const auto is_busy = [&](const std::string& key) { return busy.count(key) != 0; };
-    for (const auto& w : queue->candidates(now, level, slots, is_busy)) keys.push_back(w->request.key);
+    for (const auto& w : queue->candidates(now, level, slots, is_busy))
+      keys.push_back(w->request.key);
     return keys;
   }
 };
@@ -62,14 +64,15 @@
 // With one line a priority, a team's job waited behind a thousand of another team.
 TEST(WriteQueue, ATeamsFirstWriteDoesNotWaitBehindAnothersFlood) {
   Queue q;
-  for (int i = 0; i < 100; ++i) q.add("flood-" + std::to_string(i), WriteCause::placement, 0, store::Rank::normal, "red");
+  for (int i = 0; i < 100; ++i)
+    q.add("flood-" + std::to_string(i), WriteCause::placement, 0, store::Rank::normal, "red");
   q.add("single", WriteCause::placement, 0, store::Rank::normal, "blue");
   const auto next = q.next(0.1, kPlenty, 2);
   EXPECT_NE(std::find(next.begin(), next.begin() + 2, "single"), next.begin() + 2);
 }
 
-// Ends of single tasks and what is for display leave one by one while nobody else needs the budget, and gather when it is
-// short, each for its time.
+// Ends of single tasks and what is for display leave one by one while nobody else needs the budget,
+// and gather when it is short, each for its time.
 TEST(WriteQueue, GathersOnlyWhileTheBudgetIsShort) {
   Queue q;
   q.add("end", WriteCause::task_end, 0);
@@ -82,8 +85,8 @@
   EXPECT_EQ(q.queue->pressing(q.settings.lease_s / 2), 2u);
 }
 
-// Acceptances may overdraw the budget and placements could not as far: a flood of the first kept the budget so low that
-// nothing was placed at all.
+// Acceptances may overdraw the budget and placements could not as far: a flood of the first kept
+// the budget so low that nothing was placed at all.
 TEST(WriteQueue, WhatIsOverdueGoesWithAFloodOfAcceptances) {
   Queue q;
   for (int i = 0; i < 100; ++i) q.add("accept-" + std::to_string(i), WriteCause::acceptance, 0);
@@ -96,7 +99,8 @@
   for (int t = 0; t < kTransactions; ++t) {
     q.queue->begin_transaction();
     size_t slots = kSlots;
-    for (const auto& w : q.queue->candidates(20, kSpent, kSlots, [](const std::string&) { return false; })) {
+    for (const auto& w :
+         q.queue->candidates(20, kSpent, kSlots, [](const std::string&) { return false; })) {
       if (slots-- == 0) break;
       left.insert(w->request.key);
       q.queue->take(w);
@@ -118,13 +122,14 @@
   EXPECT_EQ(q.next(0.1, kSpent).front(), "accept-0");
 }
 
-// Whatever comes, each write leaves within a number of transactions that follows from what stood before it, though the
-// budget never stands above what users may overdraw.
+// Whatever comes, each write leaves within a number of transactions that follows from what stood
+// before it, though the budget never stands above what users may overdraw.
 RC_GTEST_PROP(WriteQueue, NothingStarves, ()) {
   Queue q;
   const auto flood = *rc::gen::inRange<int>(1, 40);
-  constexpr WriteCause kCauses[] = {WriteCause::acceptance, WriteCause::placement, WriteCause::job_done,
-                                    WriteCause::task_end, WriteCause::running_mark};
+  constexpr WriteCause kCauses[] = {WriteCause::acceptance, WriteCause::placement,
+                                    WriteCause::job_done, WriteCause::task_end,
+                                    WriteCause::running_mark};
   std::map<uint64_t, double> waiting;
   double now = 0;
   double longest = 0;
@@ -136,7 +141,8 @@
     }
     size_t slots = kSlots;
     q.queue->begin_transaction();
-    for (const auto& w : q.queue->candidates(now, kSpent, kSlots, [](const std::string&) { return false; })) {
+    for (const auto& w :
+         q.queue->candidates(now, kSpent, kSlots, [](const std::string&) { return false; })) {
       if (slots-- == 0) break;
       longest = std::max(longest, now - w->queued_at);
       q.queue->take(w);
@@ -150,15 +156,18 @@
 
 TEST(BudgetShare, IdleControllersLeaveTheirs) {
   // Of ten, two lack something: each gets what the others leave, not a tenth.
-  EXPECT_NEAR(fair_share(2, {2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.4, 1e-9);
-  EXPECT_NEAR(fair_share(0.025, {2, 2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.025, 1e-9);
+  EXPECT_NEAR(fair_share(2, {2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.4,
+              1e-9);
+  EXPECT_NEAR(fair_share(0.025, {2, 2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.025,
+              1e-9);
   // The leader with a fleet to record gets more than a holder with some jobs.
   EXPECT_GT(fair_share(0.9, {0.4, 0.4}), 0.45);
 }
 
 RC_GTEST_PROP(BudgetShare, AddsUpAndTakesFromNobody, ()) {
-  const auto needs = *rc::gen::suchThat(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400)),
-                                        [](const auto& v) { return !v.empty() && v.size() < 20; });
+  const auto needs =
+      *rc::gen::suchThat(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400)),
+                         [](const auto& v) { return !v.empty() && v.size() < 20; });
   double sum = 0;
   for (size_t i = 0; i < needs.size(); ++i) {
     std::vector<double> others;
