--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -45,7 +45,7 @@
   s.budget_need = state_store_.need();
   for (int p = 0; p < membership_.shards(); ++p)
     if (membership_.shard_token(p) != 0) s.shards.push_back(p);
-  s.machines_heard = shard_controller_.machines_heard_of_other_shards();
+  s.machines_heard = shard_controller_.heartbeats().machines_heard_of_other_shards();
   s.nodes = membership_.controllers_heard();
   s.at = context_.wall;
   s.revision = state_cache_.revision();
@@ -88,10 +88,10 @@
       core.context_.out.push_back(AnswerStats{c.request, core.stats()});
     }
     void operator()(HandleHeartbeat&& c) {
-      core.shard_controller_.handle_heartbeat(c.request, std::move(c.heartbeat));
+      core.shard_controller_.heartbeats().handle_heartbeat(c.request, std::move(c.heartbeat));
     }
     void operator()(HandleForwardedHeartbeat&& c) {
-      core.shard_controller_.handle_forwarded_heartbeat(c.request, c.heartbeat);
+      core.shard_controller_.heartbeats().handle_forwarded_heartbeat(c.request, c.heartbeat);
     }
     void operator()(HandlePeerState&& c) {
       core.membership_.on_peer_query(c.state);
--- a/src/coordination/preemption/requeue_action.cpp
+++ b/src/coordination/preemption/requeue_action.cpp
@@ -1,18 +1,14 @@
-// the requeue action of the Expected Runtime design: nominate, try, commit or roll back.
+#include "coordination/preemption/requeue_action.h"
+
 #include <algorithm>
 #include <unordered_set>
+#include <utility>
 
 #include "coordination/preemption/nomination.h"
-#include "coordination/shard/shard_controller.h"
 
 namespace rushtrestle::coordination {
 
-using store::JobKind;
-using store::JobRecord;
 using store::JobStatus;
-using store::MachinePhase;
-using store::MachineRecord;
-using store::Placement;
 
 namespace {
 // The picture lists machines by id.
@@ -24,49 +20,34 @@
 }
 }  // namespace
 
-bool ShardController::fits_whole(const ShardJob& preemptor, std::vector<Slot>& picture,
-                                 PlannedRoom* used) const {
-  const ZoneCounts zones = zones_of(preemptor.desired);
-  if (!preemptor.desired.spec.one_zone || preemptor.desired.spec.zone || !zones.empty())
-    return fits_whole_beside(preemptor, zones, picture, used);
-  // The first task's place decides the zone; what is best for it alone may have no room for the
-  // rest.
-  ShardJob bound = preemptor;
-  for (const auto& zone : context_.settings.zones) {
-    bound.desired.spec.zone = zone;
-    if (fits_whole_beside(bound, zones, picture, used)) return true;
-    if (used) used->clear();
-  }
-  return false;
-}
-
-bool ShardController::fits_whole_beside(const ShardJob& preemptor, ZoneCounts zones,
-                                        std::vector<Slot>& picture, PlannedRoom* used) const {
-  const uint32_t need = preemptor.desired.spec.tasks - preemptor.desired.done.size() -
-                        static_cast<uint32_t>(preemptor.desired.placed.size());
-  store::Resources more;
-  std::vector<std::pair<Slot*, store::Resources>> before;
-  bool fits = true;
-  for (uint32_t i = 0; i < need && fits; ++i) {
-    more.add(preemptor.desired.spec.per_task);
-    Slot* slot = within_quota(preemptor.desired.spec.team, more)
-                     ? select_slot_for(preemptor, zones, picture)
-                     : nullptr;
-    fits = slot != nullptr;
-    if (!fits) break;
-    before.emplace_back(slot, slot->free);
-    slot->free.add(preemptor.desired.spec.per_task, -1);
-    zones[*slot->zone]++;
-    if (used) used->emplace_back(slot->machine, preemptor.desired.spec.per_task);
+void RequeueAction::scan(int shard) {
+  auto waiting_jobs = preemptors(shard);
+  const auto candidates = nominate(shard);
+  if (waiting_jobs.empty() || candidates.empty()) return;
+  // A copy of the picture for each pair took seconds: one picture, rolled back after each trial.
+  auto picture = scheduler_.slots(shard);
+  for (ShardJob* victim : candidates) {
+    std::vector<std::pair<Slot*, store::Resources>> before;
+    for (const auto& p : victim->desired.placed)
+      if (Slot* slot = find_slot(picture, p.machine)) {
+        before.emplace_back(slot, slot->free);
+        slot->free.add(victim->desired.spec.per_task);
+      }
+    PlannedRoom used;
+    const auto chosen = try_preemptors(*victim, waiting_jobs, picture, used);
+    if (chosen) {
+      commit_requeue(*victim, *waiting_jobs[*chosen].job, used);
+      waiting_jobs.erase(waiting_jobs.begin() + static_cast<long>(*chosen));
+      picture = scheduler_.slots(shard);  // with what was promised
+    } else {
+      for (auto it = before.rbegin(); it != before.rend(); ++it) it->first->free = it->second;
+    }
   }
-  // Rolled back, to the bit: the picture serves the next trial, too.
-  for (auto it = before.rbegin(); it != before.rend(); ++it) it->first->free = it->second;
-  return fits;
 }
 
-std::vector<ShardController::ShardJob*> ShardController::nominate(int shard) {
+std::vector<ShardJob*> RequeueAction::nominate(int shard) {
   std::vector<ShardJob*> candidates;
-  for (auto& [id, j] : jobs_) {
+  for (auto& [id, j] : state_.jobs()) {
     if (j.shard != shard || j.desired.status != JobStatus::open) continue;
     const std::string reason = nomination_skip_reason(j.desired, context_.wall, context_.operators,
                                                       context_.settings.clock_error_s);
@@ -90,10 +71,10 @@
   return candidates;
 }
 
-std::vector<ShardController::Preemptor> ShardController::preemptors(int shard) {
+std::vector<RequeueAction::Preemptor> RequeueAction::preemptors(int shard) {
   std::vector<Preemptor> out;
-  for (ShardJob* c : scheduling_queue(shard)) {
-    const std::string placement_class = placement_class_of(*c);
+  for (ShardJob* c : scheduler_.scheduling_queue(shard)) {
+    const std::string placement_class = scheduler_.placement_class_of(*c);
     const size_t missing =
         c->desired.spec.tasks - c->desired.done.size() - c->desired.placed.size();
     out.push_back({c, placement_class.empty() ? c->desired.spec.id
@@ -102,16 +83,10 @@
   return out;
 }
 
-bool ShardController::has_preemptor_reservation(const std::string& job_id) const {
-  return std::any_of(preemptor_reservations_.begin(), preemptor_reservations_.end(),
-                     [&](const PreemptorReservation& p) { return p.job == job_id; });
-}
-
 // The first preemptor of a higher rank, in waiting order, that fits whole into the picture.
-std::optional<size_t> ShardController::try_preemptors(const ShardJob& victim,
-                                                      const std::vector<Preemptor>& preemptors,
-                                                      std::vector<Slot>& picture,
-                                                      PlannedRoom& used) {
+std::optional<size_t> RequeueAction::try_preemptors(const ShardJob& victim,
+                                                    const std::vector<Preemptor>& preemptors,
+                                                    std::vector<Slot>& picture, PlannedRoom& used) {
   // With hundreds of both, a trial for each pair kept heartbeats and renewals waiting for seconds:
   // jobs of one placement class and number of tasks are tried once.
   std::unordered_set<std::string> tried;
@@ -119,52 +94,27 @@
     const auto& preemptor = preemptors[i];
     if (preemptor.job->desired.spec.rank <= victim.desired.spec.rank) break;  // sorted by rank
     if (tried.count(preemptor.placement_class) ||
-        has_preemptor_reservation(preemptor.job->desired.spec.id))
+        preemptor_reservations_.has(preemptor.job->desired.spec.id))
       continue;
     used.clear();
-    if (fits_whole(*preemptor.job, picture, &used)) return i;
+    if (scheduler_.fits_whole(*preemptor.job, picture, &used)) return i;
     context_.counters["requeue_rollbacks_total"]++;
     tried.insert(preemptor.placement_class);
   }
   return std::nullopt;
 }
 
-void ShardController::commit_requeue(ShardJob& victim, const ShardJob& preemptor,
-                                     const PlannedRoom& used) {
+void RequeueAction::commit_requeue(ShardJob& victim, const ShardJob& preemptor,
+                                   const PlannedRoom& used) {
   context_.counters["requeue_commits_total"]++;
   context_.info("requeue committed: " + victim.desired.spec.id + " makes room for " +
                 preemptor.desired.spec.id);
   victim.desired.not_before = context_.wall + context_.operators.requeue_delay_s;
   for (auto& p : victim.desired.placed) p.stopping = true;
-  enqueue_job_write(victim.desired.spec.id, WriteCause::stop);
+  job_writer_.enqueue(victim.desired.spec.id, WriteCause::stop);
   for (const auto& [machine_id, room] : used)
-    preemptor_reservations_.push_back(
+    preemptor_reservations_.add(
         {preemptor.desired.spec.id, machine_id, room, context_.now + context_.settings.lease_s});
 }
 
-void ShardController::scan_for_requeue(int shard) {
-  auto waiting_jobs = preemptors(shard);
-  const auto candidates = nominate(shard);
-  if (waiting_jobs.empty() || candidates.empty()) return;
-  // A copy of the picture for each pair took seconds: one picture, rolled back after each trial.
-  auto picture = slots(shard);
-  for (ShardJob* victim : candidates) {
-    std::vector<std::pair<Slot*, store::Resources>> before;
-    for (const auto& p : victim->desired.placed)
-      if (Slot* slot = find_slot(picture, p.machine)) {
-        before.emplace_back(slot, slot->free);
-        slot->free.add(victim->desired.spec.per_task);
-      }
-    PlannedRoom used;
-    const auto chosen = try_preemptors(*victim, waiting_jobs, picture, used);
-    if (chosen) {
-      commit_requeue(*victim, *waiting_jobs[*chosen].job, used);
-      waiting_jobs.erase(waiting_jobs.begin() + static_cast<long>(*chosen));
-      picture = slots(shard);  // with what was promised
-    } else {
-      for (auto it = before.rbegin(); it != before.rend(); ++it) it->first->free = it->second;
-    }
-  }
-}
-
 }  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/scheduling/preemptor_reservations.cpp
@@ -0,0 +1,20 @@
+#include "coordination/scheduling/preemptor_reservations.h"
+
+#include <algorithm>
+
+namespace rushtrestle::coordination {
+
+bool PreemptorReservations::has(const std::string& job) const {
+  return std::any_of(reservations_.begin(), reservations_.end(),
+                     [&](const PreemptorReservation& each) { return each.job == job; });
+}
+
+void PreemptorReservations::remove_job(const std::string& job) {
+  std::erase_if(reservations_, [&](const PreemptorReservation& each) { return each.job == job; });
+}
+
+void PreemptorReservations::expire(double now) {
+  std::erase_if(reservations_, [&](const PreemptorReservation& each) { return now > each.until; });
+}
+
+}  // namespace rushtrestle::coordination
--- a/src/coordination/shard/machine_health.cpp
+++ b/src/coordination/shard/machine_health.cpp
@@ -1,34 +1,29 @@
-// which machines are silent, deaf, mute or faulty, and what becomes of them.
-#include <algorithm>
+#include "coordination/shard/machine_health.h"
 
-#include "coordination/shard/shard_controller.h"
+#include <algorithm>
 
 namespace rushtrestle::coordination {
 
-using store::JobKind;
-using store::JobRecord;
-using store::JobStatus;
 using store::MachinePhase;
 using store::MachineRecord;
-using store::Placement;
 
 namespace {
 // A job that failed on a suspect machine is tried elsewhere in that time, in worker leases.
 constexpr double kDoubtLeases = 2;
 }  // namespace
 
-void ShardController::count_silent() {
+void MachineHealth::count_silent() {
   silence_.clear();
-  for (const auto& [id, m] : machines_) {
+  for (const auto& [id, m] : state_.machines()) {
     const auto* r = state_cache_.machine(id);
     if (!r || m.address.empty()) continue;
     auto& zone = silence_[r->record.zone];
     ++zone.machines;
-    if (!sends_heartbeats(m)) ++zone.silent;
+    if (!state_.sends_heartbeats(m)) ++zone.silent;
   }
 }
 
-bool ShardController::correlated_silence(const Machine& m) const {
+bool MachineHealth::correlated_silence(const ShardMachine& m) const {
   const auto* record = state_cache_.machine(m.id);
   const auto zone = record ? silence_.find(record->record.zone) : silence_.end();
   return zone != silence_.end() &&
@@ -36,22 +31,22 @@
              std::max(3.0, zone->second.machines * Tunables::kCorrelatedSilenceShare);
 }
 
-void ShardController::mark_for_deletion(Machine& m, const std::string& why) {
-  if (m.marking_for_deletion || !can_act()) return;
+void MachineHealth::mark_for_deletion(ShardMachine& m, const std::string& why) {
+  if (m.marking_for_deletion || !may_act(state_store_)) return;
   m.marking_for_deletion = true;
   context_.counters["machines_condemned"]++;
   context_.info("machine " + m.id + " condemned: " + why);
-  write_machine(m.id, WriteCause::machine_marked_for_deletion, [](MachineRecord& r) {
+  machine_writer_.enqueue(m.id, WriteCause::machine_marked_for_deletion, [](MachineRecord& r) {
     r.phase = MachinePhase::marked_for_deletion;
     return true;
   });
 }
 
-void ShardController::check_health(Machine& m) {
+void MachineHealth::check(ShardMachine& m) {
   const auto* record = state_cache_.machine(m.id);
   if (!record || record->record.terminating()) return;
   if (m.verdict == MachineVerdict::suspect)
-    judge(m);  // jobs may have been vouched for, or called off, meanwhile
+    failures_.judge(m);  // jobs may have been vouched for, or called off, meanwhile
   const bool out_of_doubt =
       m.verdict == MachineVerdict::faulty ||
       (m.verdict == MachineVerdict::suspect &&
@@ -70,7 +65,7 @@
   const double silent = context_.now - m.last_seen;
   if (silent > context_.tunables.probe_after_s) {
     m.dispatch_wanted = true;
-    dispatch_queue_.insert(m.id);
+    dispatch_queue_.add(m.id);
   }
   // Deaf is who speaks and does not hear: silent machines, whose heartbeats came with the end of a
   // cut, were marked for deletion at that very moment for the commands that had failed in it.
@@ -100,8 +95,8 @@
   // restarted, say) would else cost a whole zone's machines at the same moment.
   std::erase_if(marked_for_deletion_at_,
                 [&](double t) { return context_.now - t > context_.tunables.silence_limit_s; });
-  const double most =
-      std::max(3.0, static_cast<double>(machines_.size()) * Tunables::kMarkForDeletionShare);
+  const double most = std::max(
+      3.0, static_cast<double>(state_.machines().size()) * Tunables::kMarkForDeletionShare);
   if (m.marking_for_deletion || static_cast<double>(marked_for_deletion_at_.size()) >= most) return;
   marked_for_deletion_at_.push_back(context_.now);
   mark_for_deletion(m, lost_both   ? "silent"
@@ -109,44 +104,4 @@
                                    : "reaches no controller");
 }
 
-void ShardController::answer_reassignment(Machine& m) {
-  const auto* record = state_cache_.machine(m.id);
-  if (!record || record->record.phase != MachinePhase::reassignment_requested) return;
-  const bool empty = m.placed.empty();
-  if (!empty && record->record.drain && (m.pinned == 0 || record->record.next_shard < 0)) {
-    // The leader takes it back, for a team within its guarantee or because its work fits on fewer
-    // machines: what runs here is stopped, saved and queued again. For the latter alone no work is
-    // lost.
-    const bool spare_work = record->record.next_shard < 0;
-    std::set<std::string> changed;
-    for (const auto& [key, attempt] : m.placed)
-      if (ShardJob* j = job(key.first))
-        for (auto& p : j->desired.placed)
-          if (p.task == key.second && !p.stopping &&
-              !(spare_work && j->desired.spec.kind != JobKind::service &&
-                j->desired.spec.checkpoint_s <= 0)) {
-            p.stopping = true;
-            changed.insert(key.first);
-          }
-    for (const auto& id : changed) enqueue_job_write(id, WriteCause::stop);
-    return;
-  }
-  write_machine(m.id, WriteCause::machine_reassignment_answer,
-                [this, empty, id = m.id](MachineRecord& r) {
-                  if (r.phase != MachinePhase::reassignment_requested) return false;
-                  const Machine* mine = machine(id);
-                  r.drain = false;
-                  if (empty && mine && mine->placed.empty()) {
-                    if (r.next_shard < 0) {
-                      r.phase = MachinePhase::released;
-                      return true;
-                    }
-                    r.shard = r.next_shard;
-                  }
-                  r.phase = MachinePhase::assigned;
-                  r.next_shard = -1;
-                  return true;
-                });
-}
-
 }  // namespace rushtrestle::coordination
