--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -2,13 +2,59 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
+#include "coordination/fleet/cluster_leader.h"
+#include "coordination/jobs/job_service.h"
 #include "coordination/runtime/version.h"
+#include "coordination/shard/shard_controller.h"
 
 namespace rushtrestle::coordination {
 
-Core::Core(const store::Settings& settings, const store::OperatorSettings& operators,
-           std::string incarnation, uint64_t seed, LogLine::Level log_level)
+/// The modules of a controller, wired together. Each batch goes through them in one fixed order.
+class Core::Modules : private store::StateCache::Listener {
+ public:
+  Modules(const store::Settings& settings, const store::OperatorSettings& operators,
+          std::string incarnation, uint64_t seed, LogLine::Level log_level);
+
+  std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock);
+  double next_wakeup();
+
+ private:
+  void on_job_changed(const std::string& id) override;
+  void on_machine_changed(const std::string& id) override;
+  void on_lease_holder_changed(const std::string& key) override;
+
+  void execute(SubmitJob&& command) { job_service_.submit(std::move(command)); }
+  void execute(QueryJob&& command) { job_service_.query(command); }
+  void execute(CancelJob&& command) { job_service_.cancel(command); }
+  void execute(CheckHealth&& command);
+  void execute(ShowStats&& command);
+  void execute(HandleHeartbeat&& command);
+  void execute(HandleForwardedHeartbeat&& command);
+  void execute(HandlePeerState&& command);
+  void execute(CallDone&& command) { context_.returned(std::move(command)); }
+  void execute(Tick&& /*command*/) {}
+
+  void measure_lag();
+  PeerState own_state();
+  store::Json stats();
+
+  Context context_;
+  store::StateCache state_cache_;
+  StateStoreClient state_store_;
+  Membership membership_;
+  ImageCaches images_;
+  ArrivalForecast arrival_forecast_;
+  ShardController shard_controller_;
+  ClusterLeader cluster_leader_;
+  JobService job_service_;
+  double wakeup_at_ = 0;  // 0: not asked for yet
+  double handled_at_ = 0;
+};
+
+Core::Modules::Modules(const store::Settings& settings, const store::OperatorSettings& operators,
+                       std::string incarnation, uint64_t seed, LogLine::Level log_level)
     : context_(settings, operators, std::move(incarnation), seed),
       state_cache_(*this),
       state_store_(context_, state_cache_),
@@ -26,103 +72,58 @@
   membership_.on_shard_lost = [this](int shard) { shard_controller_.on_shard_lost(shard); };
 }
 
-void Core::on_job_changed(const std::string& id) {
+// ---- changes of the state cache ----
+
+void Core::Modules::on_job_changed(const std::string& id) {
   arrival_forecast_.on_job_changed(id);
   shard_controller_.on_job_changed(id);
 }
-void Core::on_machine_changed(const std::string& id) { shard_controller_.on_machine_changed(id); }
-void Core::on_lease_holder_changed(const std::string& key) {
+
+void Core::Modules::on_machine_changed(const std::string& id) {
+  shard_controller_.on_machine_changed(id);
+}
+
+void Core::Modules::on_lease_holder_changed(const std::string& key) {
   membership_.on_lease_holder_changed(key);
 }
 
-PeerState Core::own_state() {
-  PeerState s;
-  s.node = context_.settings.node;
-  s.incarnation = context_.incarnation;
-  s.has_state_store = state_store_.lease_valid() && !state_store_.disconnected();
-  s.synced = state_store_.synced();
-  s.backlog = state_store_.backlog();
-  s.budget_need = state_store_.need();
-  for (int p = 0; p < membership_.shards(); ++p)
-    if (membership_.shard_token(p) != 0) s.shards.push_back(p);
-  s.machines_heard = shard_controller_.heartbeats().machines_heard_of_other_shards();
-  s.nodes = membership_.controllers_heard();
-  s.at = context_.wall;
-  s.revision = state_cache_.revision();
-  s.version = program_version();
-  s.record_format = store::kRecordFormat;
-  if (state_store_.ever_synced()) s.current_age_s = context_.now - state_store_.current_at();
-  return s;
+// ---- commands ----
+
+void Core::Modules::execute(CheckHealth&& command) {
+  const int status = job_service_.healthy() ? 200 : 503;
+  context_.out.push_back(AnswerUser{command.request, status, std::nullopt, 1});
 }
 
-store::Json Core::stats() {
-  store::Json j = {{"node", context_.settings.node},
-                   {"revision", state_cache_.revision()},
-                   {"leading", membership_.leading()},
-                   {"state_lease", state_store_.lease_valid()},
-                   {"write_backlog", state_store_.backlog()},
-                   {"writes", state_store_.stats()},
-                   {"version", program_version()},
-                   {"record_format", state_cache_.record_format()},
-                   {"controllers", membership_.versions()}};
-  j["process"] = {{"lag_s", context_.lag},
-                  {"cpu_s", context_.load.cpu_s},
-                  {"memory_mb", context_.load.memory_mb}};
-  j["known_jobs"] = state_cache_.known_jobs();
-  j["owner"] = shard_controller_.stats();
-  j["counters"] = context_.counters;
-  return j;
+void Core::Modules::execute(ShowStats&& command) {
+  context_.out.push_back(AnswerStats{command.request, stats()});
 }
 
-void Core::take(Command&& command) {
-  struct Taker {
-    Core& core;
-    void operator()(SubmitJob&& c) { core.job_service_.submit(std::move(c)); }
-    void operator()(QueryJob&& c) { core.job_service_.query(c); }
-    void operator()(CancelJob&& c) { core.job_service_.cancel(c); }
-    void operator()(CheckHealth&& c) {
-      core.context_.out.push_back(
-          AnswerUser{c.request, core.job_service_.healthy() ? 200 : 503, std::nullopt, 1});
-    }
-    void operator()(ShowStats&& c) {
-      core.context_.out.push_back(AnswerStats{c.request, core.stats()});
-    }
-    void operator()(HandleHeartbeat&& c) {
-      core.shard_controller_.heartbeats().handle_heartbeat(c.request, std::move(c.heartbeat));
-    }
-    void operator()(HandleForwardedHeartbeat&& c) {
-      core.shard_controller_.heartbeats().handle_forwarded_heartbeat(c.request, c.heartbeat);
-    }
-    void operator()(HandlePeerState&& c) {
-      core.membership_.on_peer_query(c.state);
-      PeerState own = core.own_state();
-      if (c.state.acknowledged)
-        own.offered_cancellations = core.membership_.offer_cancellations(c.state);
-      core.context_.out.push_back(AnswerPeer{c.request, std::move(own)});
-    }
-    void operator()(CallDone&& c) { core.context_.returned(std::move(c)); }
-    void operator()(Tick&&) {}
-  };
-  std::visit(Taker{*this}, std::move(command));
+void Core::Modules::execute(HandleHeartbeat&& command) {
+  shard_controller_.heartbeats().handle_heartbeat(command.request, std::move(command.heartbeat));
 }
 
-// A process that stood still, or gets too little processor time, comes late to what was due.
-void Core::measure_lag() {
-  const double late = wakeup_at_ > 0 ? std::max(0.0, context_.now - wakeup_at_) : 0;
-  context_.lag = std::max(late, context_.lag * std::exp2((handled_at_ - context_.now) /
-                                                         context_.settings.heartbeat_interval_s));
-  handled_at_ = context_.now;
+void Core::Modules::execute(HandleForwardedHeartbeat&& command) {
+  shard_controller_.heartbeats().handle_forwarded_heartbeat(command.request, command.heartbeat);
 }
 
-std::vector<Effect> Core::handle(std::deque<Command>& commands, const Clock& clock) {
+void Core::Modules::execute(HandlePeerState&& command) {
+  membership_.on_peer_query(command.state);
+  PeerState own = own_state();
+  if (command.state.acknowledged)
+    own.offered_cancellations = membership_.offer_cancellations(command.state);
+  context_.out.push_back(AnswerPeer{command.request, std::move(own)});
+}
+
+std::vector<Effect> Core::Modules::handle(std::deque<Command>& commands, const Clock& clock) {
   context_.now = clock.steady;
   context_.wall = clock.wall;
   context_.load = clock.load;
   measure_lag();
   while (!commands.empty()) {
-    Command c = std::move(commands.front());
+    Command next = std::move(commands.front());
     commands.pop_front();
-    take(std::move(c));
+    std::visit([this](auto&& command) { execute(std::forward<decltype(command)>(command)); },
+               std::move(next));
   }
   membership_.tick();
   job_service_.tick();
@@ -133,15 +134,82 @@
   return std::exchange(context_.out, {});
 }
 
-// With a tick every eightieth of report_s, two turns in five had nothing to do, and a turn costs as
-// much as a message.
-double Core::next_wakeup() {
-  const double shortest = context_.settings.heartbeat_interval_s / 80;
+// ---- the clock ----
+
+// A process that stood still, or gets too little processor time, comes late to what was due.
+void Core::Modules::measure_lag() {
+  const double late = wakeup_at_ > 0 ? std::max(0.0, context_.now - wakeup_at_) : 0;
+  const double halvings = (handled_at_ - context_.now) / context_.settings.heartbeat_interval_s;
+  context_.lag = std::max(late, context_.lag * std::exp2(halvings));
+  handled_at_ = context_.now;
+}
+
+// With a tick every eightieth of a heartbeat interval, two turns in five had nothing to do, and a
+// turn costs as much as a message.
+double Core::Modules::next_wakeup() {
+  const double shortest_sleep = context_.settings.heartbeat_interval_s / 80;
+  const double longest_sleep = context_.settings.heartbeat_interval_s / 4;
   const double due =
       std::min({membership_.next_due(), job_service_.next_due(), shard_controller_.next_due(),
                 cluster_leader_.next_due(), state_store_.next_due()});
-  wakeup_at_ = context_.now + std::clamp(due - context_.now, shortest, longest_sleep());
+  wakeup_at_ = context_.now + std::clamp(due - context_.now, shortest_sleep, longest_sleep);
   return wakeup_at_;
 }
 
+// ---- what is told of this controller ----
+
+PeerState Core::Modules::own_state() {
+  PeerState state;
+  state.node = context_.settings.node;
+  state.incarnation = context_.incarnation;
+  state.has_state_store = state_store_.lease_valid() && !state_store_.disconnected();
+  state.synced = state_store_.synced();
+  state.backlog = state_store_.backlog();
+  state.budget_need = state_store_.need();
+  for (int shard = 0; shard < membership_.shards(); ++shard)
+    if (membership_.shard_token(shard) != 0) state.shards.push_back(shard);
+  state.machines_heard = shard_controller_.heartbeats().machines_heard_of_other_shards();
+  state.nodes = membership_.controllers_heard();
+  state.at = context_.wall;
+  state.revision = state_cache_.revision();
+  state.version = program_version();
+  state.record_format = store::kRecordFormat;
+  if (state_store_.ever_synced()) state.current_age_s = context_.now - state_store_.current_at();
+  return state;
+}
+
+store::Json Core::Modules::stats() {
+  return {{"node", context_.settings.node},
+          {"revision", state_cache_.revision()},
+          {"leading", membership_.leading()},
+          {"state_lease", state_store_.lease_valid()},
+          {"write_backlog", state_store_.backlog()},
+          {"writes", state_store_.stats()},
+          {"version", program_version()},
+          {"record_format", state_cache_.record_format()},
+          {"controllers", membership_.versions()},
+          {"process",
+           {{"lag_s", context_.lag},
+            {"cpu_s", context_.load.cpu_s},
+            {"memory_mb", context_.load.memory_mb}}},
+          {"known_jobs", state_cache_.known_jobs()},
+          {"owner", shard_controller_.stats()},
+          {"counters", context_.counters}};
+}
+
+// ---- the public face ----
+
+Core::Core(const store::Settings& settings, const store::OperatorSettings& operators,
+           std::string incarnation, uint64_t seed, LogLine::Level log_level)
+    : modules_(std::make_unique<Modules>(settings, operators, std::move(incarnation), seed,
+                                         log_level)) {}
+
+Core::~Core() = default;
+
+std::vector<Effect> Core::handle(std::deque<Command>& commands, const Clock& clock) {
+  return modules_->handle(commands, clock);
+}
+
+double Core::next_wakeup() { return modules_->next_wakeup(); }
+
 }  // namespace rushtrestle::coordination
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -1,20 +1,26 @@
-// One owner of all state. Commands and a clock reading go in, effects come out;
-// no sockets, no clock of its own.
+// The core of a controller: one owner of all state. Commands and a clock reading go in, effects
+// come out; no sockets, no clock of its own, one thread at a time. Programs that embed the
+// scheduler drive it as transport::ControllerServer does.
 #pragma once
 #include <deque>
+#include <memory>
 #include <string>
 #include <vector>
 
-#include "coordination/fleet/cluster_leader.h"
-#include "coordination/jobs/job_service.h"
-#include "coordination/shard/shard_controller.h"
+#include "coordination/runtime/clock.h"
+#include "coordination/runtime/messages.h"
 
 namespace rushtrestle::coordination {
 
-class Core : private store::StateCache::Listener {
+class Core {
  public:
+  /// `incarnation` names this run of the controller: no two runs of it may share one. `seed` is
+  /// that of all random numbers.
   Core(const store::Settings& settings, const store::OperatorSettings& operators,
        std::string incarnation, uint64_t seed, LogLine::Level log_level = LogLine::Level::error);
+  ~Core();
+  Core(const Core&) = delete;
+  Core& operator=(const Core&) = delete;
 
   /// Works off a batch of commands; the effects are to be carried out in order.
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock);
@@ -23,27 +29,8 @@
   double next_wakeup();
 
  private:
-  void on_job_changed(const std::string& id) override;
-  void on_machine_changed(const std::string& id) override;
-  void on_lease_holder_changed(const std::string& key) override;
-  PeerState own_state();
-  store::Json stats();
-  void take(Command&& command);
-  void measure_lag();
-
-  double longest_sleep() const { return context_.settings.heartbeat_interval_s / 4; }
-
-  Context context_;
-  store::StateCache state_cache_;
-  StateStoreClient state_store_;
-  Membership membership_;
-  ImageCaches images_;
-  ArrivalForecast arrival_forecast_;
-  ShardController shard_controller_;
-  ClusterLeader cluster_leader_;
-  JobService job_service_;
-  double wakeup_at_ = 0;  // 0: not asked for yet
-  double handled_at_ = 0;
+  class Modules;
+  std::unique_ptr<Modules> modules_;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/runtime/context.h
+++ b/src/coordination/runtime/context.h
@@ -7,47 +7,13 @@
 #include <string>
 #include <unordered_map>
 
+#include "coordination/runtime/clock.h"
 #include "coordination/runtime/messages.h"
+#include "coordination/runtime/token_bucket.h"
 #include "coordination/runtime/tunables.h"
 
 namespace rushtrestle::coordination {
 
-/// What the process knows of itself.
-struct ProcessLoad {
-  double memory_mb = 0;  // in use; 0: unknown
-  double cpu_s = 0;      // processor time used
-};
-
-struct Clock {
-  double steady = 0;  // seconds, from anywhere
-  double wall = 0;    // seconds, time of day
-  ProcessLoad load = {};
-};
-
-/// Lets `rate` through per second, with a second's worth at once; may be overdrawn by one use.
-class TokenBucket {
- public:
-  void set_rate(double rate) { rate_ = rate; }
-  bool ready(double now) { return level(now) > 0; }
-  /// What is left of a second's worth, as a share of it; below 0: overdrawn.
-  double level(double now) {
-    tokens_ = std::min(std::max(1.0, rate_), tokens_ + (now - last_) * rate_);
-    last_ = now;
-    return tokens_ / std::max(1.0, rate_);
-  }
-  void take(double amount) { tokens_ -= amount; }
-  /// When `level` will be above `floor`, if nothing is taken until then.
-  double above_at(double floor, double now) {
-    const double missing = floor * std::max(1.0, rate_) - level(now) * std::max(1.0, rate_);
-    return missing < 0 ? now : now + missing / std::max(kSlowest, rate_);
-  }
-
- private:
-  static constexpr double kSlowest =
-      1e-3;  // a rate of nothing gives a late time, not a division by zero
-  double rate_ = 1, tokens_ = 1, last_ = 0;
-};
-
 /// A steady time before any that is told.
 constexpr double kLongAgo = -1e9;
 
--- a/tests/simulation/rule_checks.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -1,6 +1,7 @@
 // The rules of the protocol, checked at every start and at every step.
 #include <algorithm>
 
+#include "coordination/scheduling/placement.h"
 #include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
