--- a/src/coordination/state/writes/write_cause.h
+++ b/src/coordination/state/writes/write_cause.h
@@ -1,4 +1,7 @@
 // Why a record is written, and how urgent that makes it.
+//
+// The names of causes in `/stats` are frozen: operators' dashboards read them. A new cause goes
+// before `other`, with a name and, unless users wait for it, a priority.
 #pragma once
 #include <cstddef>
 
@@ -7,12 +10,12 @@
 enum class WriteCause {
   acceptance,
   cancellation,
-  lease_holder,  // a shard or the leadership is taken or handed back
+  lease_holder,  // a shard or the cluster's leadership is acquired or released
   placement,     // tasks are placed on machines
   stop,          // tasks are to be stopped: an eviction, a drain, a notice
-  gang_phase,    // a gang's attempt runs, or is over
+  gang_phase,    // an attempt of a gang runs, or is over
   job_done,
-  task_end,      // of a job that goes on or was cancelled
+  task_end,      // of a job that goes on, or that was cancelled
   running_mark,  // a task was seen running: for display and for the last start
   machine_rented,
   machine_address,
@@ -25,7 +28,7 @@
 };
 inline constexpr size_t kWriteCauses = static_cast<size_t>(WriteCause::other) + 1;
 
-/// As in `/stats`.
+/// The cause's name in `/stats`.
 constexpr const char* name_of(WriteCause cause) {
   constexpr const char* kNames[kWriteCauses] = {"acceptance",
                                                 "cancellation",
@@ -49,14 +52,15 @@
 
 /// In the order in which writes leave when the budget is short.
 enum class WritePriority {
-  request,    // users and the keys of shards wait for it
+  request,    // users or leases of shards wait for it
   placement,  // placements, stops that make room, machines that work waits for
-  end,        // ends that somebody waits for, machines offered and settled
+  end,        // ends that somebody waits for, reassignments of machines
   coalesced,  // ends of single tasks: wait a while for other changes of the same record
   background  // wait longer: nobody needs them soon
 };
 inline constexpr size_t kWritePriorities = static_cast<size_t>(WritePriority::background) + 1;
 
+/// A cause that is not listed is urgent: to wait for it unasked would be worse than to hurry.
 constexpr WritePriority priority_of(WriteCause cause) {
   switch (cause) {
     case WriteCause::placement:
--- a/src/coordination/state/writes/write_queue.cpp
+++ b/src/coordination/state/writes/write_queue.cpp
@@ -1,14 +1,42 @@
 #include "coordination/state/writes/write_queue.h"
 
-#include <algorithm>
 #include <cmath>
+#include <iterator>
+#include <set>
+#include <utility>
 
 namespace rushtrestle::coordination {
 
+/// The candidates of one transaction, each once.
+class WriteQueue::Selection {
+ public:
+  explicit Selection(const IsBusy& is_busy) : is_busy_(is_busy) {}
+
+  /// False: its key is busy, or it is chosen already.
+  bool choose(const QueuedWritePtr& write) {
+    if (is_busy_(write->request.key) || !numbers_.insert(write->number).second) return false;
+    writes_.push_back(write);
+    return true;
+  }
+  size_t size() const { return writes_.size(); }
+  bool empty() const { return writes_.empty(); }
+  std::vector<QueuedWritePtr> release() { return std::move(writes_); }
+
+ private:
+  const IsBusy& is_busy_;
+  std::vector<QueuedWritePtr> writes_;
+  std::set<uint64_t> numbers_;
+};
+
 WriteQueue::WriteQueue(const Tunables& tunables, const store::OperatorSettings& operators)
-    : longest_wait_s_{tunables.user_wait_s / 4, tunables.user_wait_s / 4, tunables.user_wait_s / 4,
-                      tunables.coalesce_s, tunables.background_s},
-      team_weights_(operators.team_shares.begin(), operators.team_shares.end()) {}
+    : team_weights_(operators.team_shares.begin(), operators.team_shares.end()) {
+  const double urgent_wait_s = tunables.user_wait_s / 4;
+  lines_[index(WritePriority::request)].longest_wait_s = urgent_wait_s;
+  lines_[index(WritePriority::placement)].longest_wait_s = urgent_wait_s;
+  lines_[index(WritePriority::end)].longest_wait_s = urgent_wait_s;
+  lines_[index(WritePriority::coalesced)].longest_wait_s = tunables.coalesce_s;
+  lines_[index(WritePriority::background)].longest_wait_s = tunables.background_s;
+}
 
 WriteQueue::Place WriteQueue::place_of(const QueuedWrite& write) {
   return {-static_cast<int>(write.request.rank), write.turn, write.number};
@@ -22,22 +50,22 @@
 // Each team's writes get turns one after the other, from the present turn on: a team with a
 // thousand of them has its next in the same turn as a team that comes with its first.
 void WriteQueue::add(const QueuedWritePtr& write, double now) {
-  const size_t p = index(write->priority());
+  Line& line = lines_[index(write->priority())];
   write->queued_at = now;
   write->number = next_number_++;
   if (write->request.team.empty()) {
-    write->turn = turn_[p];  // machines are room for all teams
+    write->turn = line.turn;  // machines are room for all teams
   } else {
-    double& last = team_turns_[p][write->request.team];
-    last = write->turn = std::max(turn_[p], last) + 1 / weight_of(write->request.team);
+    double& last = line.team_turns[write->request.team];
+    last = write->turn = std::max(line.turn, last) + 1 / weight_of(write->request.team);
   }
   put_back(write);
 }
 
 void WriteQueue::put_back(const QueuedWritePtr& write) {
-  const size_t p = index(write->priority());
-  lines_[p].emplace(place_of(*write), write);
-  by_age_[p].emplace(write->number, write);
+  Line& line = lines_[index(write->priority())];
+  line.in_order.emplace(place_of(*write), write);
+  line.by_age.emplace(write->number, write);
 }
 
 void WriteQueue::put_first(const QueuedWritePtr& write) {
@@ -46,112 +74,120 @@
 }
 
 void WriteQueue::take(const QueuedWritePtr& write) {
-  const size_t p = index(write->priority());
-  lines_[p].erase(place_of(*write));
-  by_age_[p].erase(write->number);
+  Line& line = lines_[index(write->priority())];
+  line.in_order.erase(place_of(*write));
+  line.by_age.erase(write->number);
   std::erase(first_, write);
-  turn_[p] = std::max(turn_[p], write->turn);
-  if (!lines_[p].empty()) return;
-  turn_[p] = 0;
-  team_turns_[p].clear();
+  line.turn = std::max(line.turn, write->turn);
+  if (!line.in_order.empty()) return;
+  line.turn = 0;
+  line.team_turns.clear();
 }
 
-// Its part of this transaction; what is less than one put is given in some of them.
-size_t WriteQueue::quota(size_t priority, size_t slots) const {
-  const double shard = Tunables::kContendedShare[priority] * static_cast<double>(slots);
+// Slots of this transaction for the priority. A share of less than one slot is granted in some of
+// the transactions.
+size_t WriteQueue::share_of_slots(size_t priority, size_t slots) const {
+  const double share = Tunables::kContendedShare[priority] * static_cast<double>(slots);
   const auto before = static_cast<double>(transactions_);
-  return static_cast<size_t>(std::floor(shard * (before + 1)) - std::floor(shard * before));
-}
-
-std::vector<QueuedWritePtr> WriteQueue::candidates(
-    double now, double level, size_t slots,
-    const std::function<bool(const std::string& key)>& is_busy) const {
-  std::vector<QueuedWritePtr> out;
-  if (level <= Tunables::kOverdueFloor[0] || empty()) return out;
-  std::set<uint64_t> chosen;
-  const auto choose = [&](const QueuedWritePtr& write) {
-    if (is_busy(write->request.key) || !chosen.insert(write->number).second) return false;
-    out.push_back(write);
-    return true;
-  };
-  for (const auto& write : first_) choose(write);
-  if (contended(now)) {
-    for (size_t p = 0; p < kWritePriorities; ++p) {
-      // Display and what is gathered go along with others, and by themselves only from a budget
-      // that is left.
-      if (level <= Tunables::kOverdueFloor[p] && out.empty()) continue;
-      size_t left = quota(p, slots);
-      const size_t by_age = p < index(WritePriority::coalesced) ? left / 2 : left;
-      for (const auto& [place, write] : lines_[p]) {
-        if (left <= by_age) break;
-        if (choose(write)) --left;
-      }
-      for (const auto& [number, write] : by_age_[p]) {
-        if (left == 0 || !overdue(*write, now)) break;
-        if (choose(write)) --left;
-      }
+  return static_cast<size_t>(std::floor(share * (before + 1)) - std::floor(share * before));
+}
+
+std::vector<QueuedWritePtr> WriteQueue::candidates(double now, double level, size_t slots,
+                                                   const IsBusy& is_busy) const {
+  if (level <= Tunables::kOverdueFloor[0] || empty()) return {};
+  Selection selection(is_busy);
+  for (const auto& write : first_) selection.choose(write);
+  if (contended(now)) choose_by_share(selection, now, level, slots);
+  const size_t most = slots * 2;  // more than the slots, as some will have nothing to write
+  choose_by_order(selection, now, level, most);
+  return selection.release();
+}
+
+// For each priority its share of the slots, of the first three priorities half of it for the writes
+// that are next in order and the rest for the oldest overdue ones, of the others all for the
+// oldest.
+void WriteQueue::choose_by_share(Selection& selection, double now, double level,
+                                 size_t slots) const {
+  for (size_t priority = 0; priority < kWritePriorities; ++priority) {
+    const Line& line = lines_[priority];
+    // Coalesced and background writes go along with others, and by themselves only from a budget
+    // that is left.
+    if (level <= Tunables::kOverdueFloor[priority] && selection.empty()) continue;
+    size_t left = share_of_slots(priority, slots);
+    const size_t for_oldest = priority < index(WritePriority::coalesced) ? left / 2 : left;
+    for (const auto& [place, write] : line.in_order) {
+      if (left <= for_oldest) break;
+      if (selection.choose(write)) --left;
+    }
+    for (const auto& [number, write] : line.by_age) {
+      if (left == 0 || !line.overdue(*write, now)) break;
+      if (selection.choose(write)) --left;
     }
   }
-  const size_t most = slots * 2;  // more than the slots, as some will have nothing to write
-  for (size_t p = 0; p < kWritePriorities && out.size() < most; ++p) {
-    const bool all = level > Tunables::kWriteFloor[p];
-    const bool only_overdue = !all && level > Tunables::kOverdueFloor[p];
-    if (all) {
-      for (const auto& [place, write] : lines_[p]) {
-        if (out.size() >= most) break;
-        choose(write);
+}
+
+// By priority, as far down as the budget's level allows; a little further down, the overdue ones.
+void WriteQueue::choose_by_order(Selection& selection, double now, double level,
+                                 size_t most) const {
+  for (size_t priority = 0; priority < kWritePriorities && selection.size() < most; ++priority) {
+    const Line& line = lines_[priority];
+    if (level > Tunables::kWriteFloor[priority]) {
+      for (const auto& [place, write] : line.in_order) {
+        if (selection.size() >= most) break;
+        selection.choose(write);
       }
-    } else if (only_overdue) {
-      for (const auto& [number, write] : by_age_[p]) {
-        if (out.size() >= most || !overdue(*write, now)) break;
-        choose(write);
+    } else if (level > Tunables::kOverdueFloor[priority]) {
+      for (const auto& [number, write] : line.by_age) {
+        if (selection.size() >= most || !line.overdue(*write, now)) break;
+        selection.choose(write);
       }
     }
   }
-  return out;
 }
 
 size_t WriteQueue::waiting_before(WritePriority priority, store::Rank rank) const {
-  const Line& line = lines_[index(priority)];
+  const auto& in_order = lines_[index(priority)].in_order;
   const Place after_rank{1 - static_cast<int>(rank), 0, 0};
-  return static_cast<size_t>(std::distance(line.begin(), line.lower_bound(after_rank)));
+  return static_cast<size_t>(std::distance(in_order.begin(), in_order.lower_bound(after_rank)));
 }
 
 bool WriteQueue::empty() const {
-  return std::all_of(lines_.begin(), lines_.end(), [](const Line& line) { return line.empty(); });
+  return std::all_of(lines_.begin(), lines_.end(),
+                     [](const Line& line) { return line.in_order.empty(); });
 }
 
 bool WriteQueue::anything_pressing(double now) const {
-  for (size_t p = 0; p < kWritePriorities; ++p) {
-    if (lines_[p].empty()) continue;
-    if (p < index(WritePriority::coalesced) || overdue(*by_age_[p].begin()->second, now))
-      return true;
+  for (size_t priority = 0; priority < kWritePriorities; ++priority) {
+    const Line& line = lines_[priority];
+    if (line.in_order.empty()) continue;
+    if (priority < index(WritePriority::coalesced) || line.oldest_overdue(now)) return true;
   }
   return false;
 }
 
 bool WriteQueue::contended(double now) const {
-  for (size_t p = 1; p < kWritePriorities; ++p)
-    if (!by_age_[p].empty() && overdue(*by_age_[p].begin()->second, now)) return true;
-  return false;
+  return std::any_of(lines_.begin() + 1, lines_.end(),
+                     [now](const Line& line) { return line.oldest_overdue(now); });
 }
 
 size_t WriteQueue::pressing(double now) const {
-  constexpr size_t kMostGathered = 50;  // it is asked all the time, and more says nothing new
-  size_t n = 0;
-  for (size_t p = 0; p < kWritePriorities; ++p) {
-    if (p < index(WritePriority::coalesced)) {
-      n += lines_[p].size();
+  // Counted of each coalescing priority: this is asked all the time, and more says nothing new.
+  constexpr size_t kMostCounted = 50;
+  size_t pressing = 0;
+  for (size_t priority = 0; priority < kWritePriorities; ++priority) {
+    const Line& line = lines_[priority];
+    if (priority < index(WritePriority::coalesced)) {
+      pressing += line.in_order.size();
       continue;
     }
-    size_t counted = 0;
-    for (const auto& [number, write] : by_age_[p]) {
-      if (counted == kMostGathered || !overdue(*write, now)) break;
-      ++counted;
+    size_t overdue = 0;
+    for (const auto& [number, write] : line.by_age) {
+      if (overdue == kMostCounted || !line.overdue(*write, now)) break;
+      ++overdue;
     }
-    n += counted;
+    pressing += overdue;
   }
-  return n;
+  return pressing;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/writes/write_request.h
+++ b/src/coordination/state/writes/write_request.h
@@ -1,5 +1,10 @@
-// One write that waits for the state service's budget.
+// One write to the state store: what callers ask for, and what the queue keeps of it.
+//
+// Callers fill a WriteRequest and give it to StateStoreClient::write; its `prepare` runs when the
+// write is about to leave, so that it carries what is desired then, and its `done` exactly once for
+// each write that was asked for.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -16,23 +21,29 @@
   conflict,   // somebody else wrote first; the state cache holds what the key has now
   unsettled,  // no answer and not there: it may yet be carried out, as long as the key keeps the
               // mod revision that it has
-  refused,    // the service won't take it
+  refused,    // the state store does not take it
   skipped     // `prepare` found nothing to write
 };
 
+/// What `prepare` decides: a compare-and-swap of one key.
 struct Prepared {
-  uint64_t expected = 0;  // mod revision that the key must have, 0: absent
-  std::optional<store::Json> value;
-  uint64_t lease = 0;
+  uint64_t expected = 0;                    // mod revision that the key must have; 0: absent
+  std::optional<store::Json> value;         // none: delete the key
+  uint64_t lease = 0;                       // that the key vanishes with; 0: none
   std::vector<Precondition> preconditions;  // besides the key's own
 };
 
+/// Field of a stored value that names the write which stored it.
+inline constexpr const char* kWriterField = "w";
+
 struct WriteRequest {
   std::string key;
   WriteCause cause = WriteCause::other;
   store::Rank rank = store::Rank::production;  // of the job that waits for it
   std::string team;  // of that job; writes of no team go before those of teams
-  std::function<bool(Prepared&)> prepare;  // runs when the write is about to leave
+  /// False: nothing is to be written any more.
+  std::function<bool(Prepared&)> prepare;
+  /// `mod_revision` is the one that the key has now, 0 when that is not known.
   std::function<void(WriteOutcome, uint64_t mod_revision)> done;
 };
 
@@ -40,8 +51,9 @@
 struct QueuedWrite {
   WriteRequest request;
   Prepared prepared;
-  std::string writer;  // marks the write, so that an unknown outcome can be told
-  bool alone = false;  // its transaction was refused: which of the writes was at fault is seen when
+  std::string writer;  // stored with the value, so that the outcome of an unanswered write can be
+                       // told from the key
+  bool alone = false;  // its transaction was refused: which of the writes was at fault shows when
                        // each goes alone
   double queued_at = 0;
   // Its place in the queue, kept when it has to be sent again.
