--- /dev/null
+++ b/src/coordination/state/list_and_watch.cpp
@@ -0,0 +1,171 @@
+#include "coordination/state/list_and_watch.h"
+
+#include <algorithm>
+#include <variant>
+
+#include "coordination/state/response_status.h"
+
+namespace rushtrestle::coordination {
+
+namespace {
+
+// Changes that the state store keeps for watches, by its protocol.
+constexpr uint64_t kKeptChanges = 10000;
+// Requests that failed are repeated about so often in the interval between renewals of the lease.
+constexpr double kListRetriesPerInterval = 2;
+constexpr double kWatchRetriesPerInterval = 4;
+
+}  // namespace
+
+void ListAndWatch::tick() {
+  if (!synced_ && !listing_ && context_.now >= next_list_attempt_) begin_or_resume_list();
+  if (synced_ && !watching_ && context_.now >= next_watch_ &&
+      budgets_.watches().ready(context_.now))
+    watch();
+}
+
+double ListAndWatch::next_due() {
+  double due = kNoDueTime;
+  if (!synced_ && !listing_) due = std::min(due, next_list_attempt_);
+  if (synced_ && !watching_)
+    due = std::min(due, std::max(next_watch_, budgets_.watches().above_at(0, context_.now)));
+  return due;
+}
+
+void ListAndWatch::confirm_current_at(double sent_at) {
+  current_at_ = std::max(current_at_, sent_at);
+}
+
+void ListAndWatch::apply(const std::vector<store::Change>& changes) {
+  for (const auto& change : changes)
+    if (!state_cache_.apply(change))
+      context_.log_rate_limited("record", "record_unreadable key=" + change.key);
+}
+
+// ---- list ----
+
+void ListAndWatch::begin_or_resume_list() {
+  listing_ = true;
+  if (!list_) list_.emplace(context_.now);
+  list_page();
+}
+
+// A list whose request failed resumes where it stopped. When it began anew each time, hundreds of
+// pages were never read to the end from a state store that leaves one request in a hundred
+// unanswered.
+void ListAndWatch::pause_list(double sent_at, int status) {
+  connectivity_.on_failure(sent_at, status);
+  listing_ = false;
+  next_list_attempt_ =
+      context_.now + context_.jitter(context_.tunables.renew_every_s / kListRetriesPerInterval);
+}
+
+void ListAndWatch::list_page() {
+  const double sent_at = context_.now;
+  context_.call(ListKeys{"", list_->last_key}, context_.settings.heartbeat_interval_s,
+                [this, sent_at](CallDone&& done) {
+                  const auto* page = std::get_if<ListKeysReply>(&done.reply);
+                  if (done.status != response_status::kOk || !page)
+                    return pause_list(sent_at, done.status);
+                  connectivity_.on_success(sent_at);
+                  on_page_listed(*page);
+                });
+}
+
+void ListAndWatch::on_page_listed(const ListKeysReply& page) {
+  if (!list_->first_revision) {
+    list_->first_revision = std::max<uint64_t>(1, page.revision);
+    list_->watched_revision = *list_->first_revision;
+  }
+  for (const auto& entry : page.entries) list_->listed_keys.insert(entry.key);
+  apply(page.entries);
+  if (!page.more || page.entries.empty()) return finish_list();
+  list_->last_key = page.entries.back().key;
+  // Half of the changes that are kept, if each transaction holds as many of them as it may.
+  const uint64_t most_revisions_behind =
+      kKeptChanges / 2 / static_cast<uint64_t>(std::max(1, context_.settings.txn_ops));
+  page.revision > list_->watched_revision + most_revisions_behind ? watch_between_pages()
+                                                                  : list_page();
+}
+
+// With more changes during a list than the state store keeps, the first watch after the list was
+// answered with 410, the keys were listed again, and so was the next watch: the controller never
+// had a state cache. So the changes are watched between pages, too.
+void ListAndWatch::watch_between_pages() {
+  const double sent_at = context_.now;
+  context_.call(Watch{list_->watched_revision, 0}, context_.settings.heartbeat_interval_s,
+                [this, sent_at](CallDone&& done) {
+                  const auto* reply = std::get_if<WatchReply>(&done.reply);
+                  if (done.status == response_status::kHistoryGone) {  // the pause was too long
+                    connectivity_.on_success(sent_at);
+                    list_.reset();
+                    listing_ = false;
+                    return;
+                  }
+                  if (done.status != response_status::kOk || !reply)
+                    return pause_list(sent_at, done.status);
+                  connectivity_.on_success(sent_at);
+                  apply(reply->events);
+                  list_->watched_revision = std::max(list_->watched_revision, reply->revision);
+                  list_page();
+                });
+}
+
+// Leased keys are the only ones that vanish, and a gap in the watched changes may have hidden that.
+// A key that was written after the list passed its place is newer than the first page, and stays.
+void ListAndWatch::delete_unlisted_leased_keys() {
+  std::vector<std::string> leased_keys{store::leader_key};
+  for (int shard = 0; shard < context_.settings.nodes; ++shard)
+    leased_keys.push_back(store::shard_key(shard));
+  const uint64_t first_revision = *list_->first_revision;
+  for (const auto& key : leased_keys) {
+    const uint64_t cached = state_cache_.mod_revision_of(key);
+    if (list_->listed_keys.count(key) == 0 && cached != 0 && cached <= first_revision)
+      state_cache_.apply(store::Change{key, std::nullopt, first_revision});
+  }
+}
+
+void ListAndWatch::finish_list() {
+  delete_unlisted_leased_keys();
+  state_cache_.reached(list_->watched_revision);
+  listing_ = false;
+  synced_ = true;
+  current_at_ = std::max(current_at_, list_->began_at);
+  list_.reset();
+  context_.info("state_cache_listed revision=" + std::to_string(state_cache_.revision()));
+  if (on_cache_advanced) on_cache_advanced();
+}
+
+// ---- watch ----
+
+void ListAndWatch::watch() {
+  watching_ = true;
+  budgets_.watches().take(1);
+  const double sent_at = context_.now;
+  const double hold_s = context_.tunables.watch_hold_s;
+  context_.call(Watch{state_cache_.revision(), hold_s},
+                hold_s + context_.settings.heartbeat_interval_s,
+                [this, sent_at](CallDone&& done) { on_watch_returned(sent_at, done); });
+}
+
+void ListAndWatch::on_watch_returned(double sent_at, const CallDone& done) {
+  watching_ = false;
+  if (done.status == response_status::kHistoryGone) {
+    synced_ = false;
+    return;
+  }
+  const auto* reply = std::get_if<WatchReply>(&done.reply);
+  if (done.status != response_status::kOk || !reply) {
+    connectivity_.on_failure(sent_at, done.status);
+    next_watch_ =
+        context_.now + context_.jitter(context_.tunables.renew_every_s / kWatchRetriesPerInterval);
+    return;
+  }
+  connectivity_.on_success(sent_at);
+  apply(reply->events);
+  state_cache_.reached(reply->revision);
+  current_at_ = std::max(current_at_, sent_at);
+  if (on_cache_advanced) on_cache_advanced();
+}
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/state/read_barrier.cpp
@@ -0,0 +1,85 @@
+#include "coordination/state/read_barrier.h"
+
+#include <algorithm>
+#include <memory>
+#include <utility>
+#include <variant>
+
+#include "coordination/state/response_status.h"
+
+namespace rushtrestle::coordination {
+
+namespace {
+
+// Nobody writes this key: the 404 for it carries the state store's revision, and nothing else.
+constexpr const char* kAbsentKey = "none";
+// Part of the time that a request may wait for its answer.
+constexpr double kStepShareOfWait = 0.6;
+
+}  // namespace
+
+double ReadBarriers::step_limit_s() const {
+  return context_.tunables.poll_wait_s * kStepShareOfWait;
+}
+
+void ReadBarriers::tick() {
+  send_read();
+  settle();
+}
+
+double ReadBarriers::next_due() {
+  double due = kNoDueTime;
+  if (!not_sent_.empty() && !read_in_flight_)
+    due = std::min(due, budgets_.barrier_reads().above_at(0, context_.now));
+  for (const auto& barrier : barriers_) due = std::min(due, barrier.deadline);
+  return due;
+}
+
+void ReadBarriers::send_read() {
+  if (not_sent_.empty() || read_in_flight_ || !budgets_.barrier_reads().ready(context_.now)) return;
+  budgets_.barrier_reads().take(1);
+  read_in_flight_ = true;
+  const double sent_at = context_.now;
+  auto waiting = std::make_shared<std::vector<Continuation>>(std::exchange(not_sent_, {}));
+  context_.call(ReadKey{kAbsentKey}, step_limit_s(),
+                [this, sent_at, waiting](CallDone&& done) { on_read(sent_at, done, *waiting); });
+}
+
+void ReadBarriers::on_read(double sent_at, const CallDone& done,
+                           std::vector<Continuation>& waiting) {
+  read_in_flight_ = false;
+  const auto* reply = std::get_if<KeyReply>(&done.reply);
+  if (done.status != response_status::kNotFound || !reply) {
+    connectivity_.on_failure(sent_at, done.status);
+    for (auto& continuation : waiting) continuation(false);
+    return;
+  }
+  connectivity_.on_success(sent_at);
+  barriers_.push_back(
+      {reply->revision, sent_at, context_.now + step_limit_s(), std::move(waiting)});
+  settle();
+}
+
+void ReadBarriers::settle() {
+  for (size_t i = 0; i < barriers_.size();) {
+    const bool passed =
+        list_and_watch_.synced() && state_cache_.revision() >= barriers_[i].revision;
+    if (!passed && context_.now < barriers_[i].deadline) {
+      ++i;
+      continue;
+    }
+    // All that was durable when the read was sent is in the cache. An open watch tells that only
+    // once it is answered, which in an outage it is not: without this, workers were answered for
+    // some seconds less than they might have been.
+    if (passed) list_and_watch_.confirm_current_at(barriers_[i].sent_at);
+    auto waiting = std::move(barriers_[i].waiting);
+    barriers_.erase(barriers_.begin() + static_cast<long>(i));
+    for (auto& continuation : waiting) continuation(passed);
+  }
+}
+
+void ReadBarriers::fail_waiting() {
+  for (auto& continuation : std::exchange(not_sent_, {})) continuation(false);
+}
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/state/read_barrier.h
@@ -0,0 +1,70 @@
+// Linearizable reads from the state cache: read barriers.
+//
+// A caller waits until the state cache is known to hold everything that was durable when it asked.
+// One read of the state store tells the revision that the cache has to reach, and serves all who
+// asked before it was sent. Invariant: each continuation runs exactly once. StateStoreClient calls
+// `tick`, `settle` whenever the cache advances, and `fail_waiting` when the state store becomes
+// unavailable.
+#pragma once
+#include <cstdint>
+#include <functional>
+#include <vector>
+
+#include "coordination/runtime/context.h"
+#include "coordination/state/list_and_watch.h"
+#include "coordination/state/request_budgets.h"
+#include "coordination/state/store_connectivity.h"
+#include "store/state_cache.h"
+
+namespace rushtrestle::coordination {
+
+class ReadBarriers {
+ public:
+  /// Told whether the state cache is at least as new as the question.
+  using Continuation = std::function<void(bool passed)>;
+
+  ReadBarriers(Context& context, const store::StateCache& state_cache,
+               StoreConnectivity& connectivity, ListAndWatch& list_and_watch,
+               RequestBudgets& budgets)
+      : context_(context),
+        state_cache_(state_cache),
+        connectivity_(connectivity),
+        list_and_watch_(list_and_watch),
+        budgets_(budgets) {}
+
+  /// Runs `continuation` once a read that is sent after this call has passed, or has failed.
+  void add(Continuation continuation) { not_sent_.push_back(std::move(continuation)); }
+  /// Sends one read for all who wait, if none is under way, and settles the barriers.
+  void tick();
+  /// Runs the continuations of the barriers that are reached, or past their deadline.
+  void settle();
+  /// Fails all for whom no read was sent yet.
+  void fail_waiting();
+  /// When `tick` has something to do; steady seconds.
+  double next_due();
+
+ private:
+  /// The revision that a read has shown, which the state cache has to reach.
+  struct Barrier {
+    uint64_t revision = 0;
+    double sent_at = 0;
+    double deadline = 0;
+    std::vector<Continuation> waiting;
+  };
+
+  void send_read();
+  void on_read(double sent_at, const CallDone& done, std::vector<Continuation>& waiting);
+  /// For the answer to the read, and again for the cache to reach its revision.
+  double step_limit_s() const;
+
+  Context& context_;
+  const store::StateCache& state_cache_;
+  StoreConnectivity& connectivity_;
+  ListAndWatch& list_and_watch_;
+  RequestBudgets& budgets_;
+  std::vector<Continuation> not_sent_;
+  bool read_in_flight_ = false;
+  std::vector<Barrier> barriers_;
+};
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/state/request_budgets.cpp
@@ -0,0 +1,37 @@
+#include "coordination/state/request_budgets.h"
+
+#include <algorithm>
+
+namespace rushtrestle::coordination {
+
+void RequestBudgets::set_share(double share) {
+  share_ = share;
+  const double requests_per_second = settings_.state_rps * Tunables::kBudget * share;
+  watches_.set_rate(requests_per_second * Tunables::kWatchShare);
+  barrier_reads_.set_rate(requests_per_second * Tunables::kBarrierShare);
+  transactions_.set_rate(requests_per_second * Tunables::kTxnShare);
+  const double rate_in_force = write_rate_refused_
+                                   ? std::min(settings_.next_write_rps, settings_.state_write_rps)
+                                   : settings_.state_write_rps;
+  writes_per_second_ = rate_in_force * Tunables::kBudget * share;
+  writes_.set_rate(writes_per_second_);
+}
+
+void RequestBudgets::on_write_rate_refused() {
+  if (settings_.next_write_rps > 0) write_rate_refused_ = true;
+}
+
+WriteBudgetLevels RequestBudgets::write_levels(double now) {
+  return {writes_.level(now), transactions_.level(now)};
+}
+
+double RequestBudgets::writes_above_at(double floor, double now) {
+  return std::max(transactions_.above_at(floor, now), writes_.above_at(floor, now));
+}
+
+void RequestBudgets::take_transaction(size_t writes) {
+  transactions_.take(1);
+  writes_.take(static_cast<double>(writes));
+}
+
+}  // namespace rushtrestle::coordination
