--- a/tests/list_and_watch_test.cpp
+++ b/tests/list_and_watch_test.cpp
@@ -1,4 +1,4 @@
-// How a controller reads all keys of the state service while they change.
+// How a controller lists all keys of the state store while they change, and watches the changes.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -17,7 +17,7 @@
   void on_lease_holder_changed(const std::string&) override {}
 };
 
-/// A link to a state service that answers at once, one request after the other.
+/// A client of a state store that answers at once, one request after the other.
 class ListingClient {
  public:
   explicit ListingClient(FakeStateStore& service)
@@ -44,15 +44,15 @@
   static constexpr double kStep = 0.05;
 
   static store::Settings settings() {
-    store::Settings s;
-    s.nodes = 3;
-    s.heartbeat_interval_s = 2;
-    s.lease_s = 14;
-    s.cancel_s = 39;
-    s.state_rps = s.state_write_rps = 1000;
-    s.value_kb = 4;
-    s.txn_ops = 8;
-    return s;
+    store::Settings result;
+    result.nodes = 3;
+    result.heartbeat_interval_s = 2;
+    result.lease_s = 14;
+    result.cancel_s = 39;
+    result.state_rps = result.state_write_rps = 1000;
+    result.value_kb = 4;
+    result.txn_ops = 8;
+    return result;
   }
 
   void answer(const Call& call, const std::function<bool()>& before_page) {
@@ -93,12 +93,12 @@
 };
 
 store::Json machine_value(int number) {
-  store::MachineRecord r;
-  r.id = "n-" + std::to_string(100000 + number);
-  r.type = "mid";
-  r.zone = "a";
-  r.shard = number % 3;
-  return to_json(r);
+  store::MachineRecord record;
+  record.id = "n-" + std::to_string(100000 + number);
+  record.type = "mid";
+  record.zone = "a";
+  record.shard = number % 3;
+  return to_json(record);
 }
 
 std::string machine_name(int number) {
@@ -116,9 +116,9 @@
   return service;
 }
 
-// While all keys of a large fleet were read, more changes happened than the service keeps: the
-// first watch was answered with 410, the keys were read again, and so on for as long as the fleet
-// was busy.
+// While all keys of a large fleet were listed, more changes happened than the state store keeps:
+// the first watch was answered with 410, the keys were listed again, and so on for as long as the
+// fleet was busy.
 TEST(ListAndWatch, MoreChangesThanAreKeptDuringTheReadDontBeginItAnew) {
   FakeStateStore service = service_with_machines();
   ListingClient state_store(service);
@@ -139,7 +139,7 @@
   }
 }
 
-// A read that began anew for each page without an answer never came to its end.
+// A list that began anew for each page without an answer never came to its end.
 TEST(ListAndWatch, APageWithoutAnAnswerIsAskedForAgain) {
   FakeStateStore service = service_with_machines();
   ListingClient state_store(service);
@@ -150,8 +150,9 @@
   EXPECT_LE(state_store.pages(), 26u);
 }
 
-// Keys vanish with their lease. Where the changes that tell of it are kept no more, the next read
-// of all keys shows it by their absence; what it passed before they were there is no absence.
+// Keys vanish with their lease. Where the changes that tell of it are no longer kept, the next list
+// shows it by their absence; a key that was written after the list had passed its place is not
+// absent.
 TEST(ListAndWatch, LeasedKeysThatVanishedUnseenAreNotHeldToBeThere) {
   FakeStateStore service = service_with_machines();
   ListingClient state_store(service);
--- a/tests/write_path_test.cpp
+++ b/tests/write_path_test.cpp
@@ -7,7 +7,9 @@
 namespace rushtrestle::testing {
 namespace {
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& cluster) {
+  return cluster.broken.empty() ? "" : cluster.broken.front();
+}
 
 /// Four puts a second for three controllers: every burst is more than they may write.
 ClusterSimulation::Options short_budget(uint64_t seed = 1) {
@@ -36,64 +38,65 @@
   return s;
 }
 
-uint64_t total_starts(const ClusterSimulation& w, int jobs) {
+uint64_t total_starts(const ClusterSimulation& cluster, int jobs) {
   uint64_t n = 0;
-  for (int i = 0; i < jobs; ++i) n += w.starts_of("job-" + std::to_string(i));
+  for (int i = 0; i < jobs; ++i) n += cluster.starts_of("job-" + std::to_string(i));
   return n;
 }
 
 /// Jobs of `tasks` each that run at the same time.
-void submit_jobs(ClusterSimulation& w, int jobs, uint32_t tasks, double at) {
+void submit_jobs(ClusterSimulation& cluster, int jobs, uint32_t tasks, double at) {
   for (int i = 0; i < jobs; ++i)
-    w.submit(array("job-" + std::to_string(i), tasks, i % 2 ? "blue" : "red"), at + 0.1 * i);
+    cluster.submit(array("job-" + std::to_string(i), tasks, i % 2 ? "blue" : "red"), at + 0.1 * i);
 }
 
-void expect_all_done(const ClusterSimulation& w, int jobs) {
-  for (int i = 0; i < jobs; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+void expect_all_done(const ClusterSimulation& cluster, int jobs) {
+  for (int i = 0; i < jobs; ++i) EXPECT_EQ(cluster.told("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(cluster.broken.empty()) << first(cluster);
 }
 
 // Each end and each start that was seen was a put of its own: a job of ten tasks took a dozen.
 TEST(WritePath, AJobsEndsShareFewPutsWhileTheBudgetIsShort) {
-  ClusterSimulation w(short_budget());
+  ClusterSimulation cluster(short_budget());
   constexpr int kJobs = 8;
   constexpr uint32_t kTasks = 12;
-  submit_jobs(w, kJobs, kTasks, 30);
-  w.run_until(150);
-  expect_all_done(w, kJobs);
-  EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks);
-  EXPECT_LE(w.work().job_writes, kJobs * 7);
+  submit_jobs(cluster, kJobs, kTasks, 30);
+  cluster.run_until(150);
+  expect_all_done(cluster, kJobs);
+  EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks);
+  EXPECT_LE(cluster.work().job_writes, kJobs * 7);
 }
 
 // What ended and was not written yet is known to the worker, who keeps it until it is: the next
 // owner neither runs it again nor misses it.
 TEST(WritePath, AnOwnerThatEndsWithGatheredEndsLosesNone) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    ClusterSimulation w(short_budget(seed));
+    ClusterSimulation cluster(short_budget(seed));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
-    submit_jobs(w, kJobs, kTasks, 30);
+    submit_jobs(cluster, kJobs, kTasks, 30);
     // At different moments of their ends.
     for (int n = 0; n < 3; ++n)
-      w.at(48 + n + 0.2 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
-    w.run_until(180);
-    expect_all_done(w, kJobs);
-    EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks) << seed;
+      cluster.at(48 + n + 0.2 * static_cast<double>(seed),
+                 [&cluster, n] { cluster.kill_node(n, 4); });
+    cluster.run_until(180);
+    expect_all_done(cluster, kJobs);
+    EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks) << seed;
   }
 }
 
 // An unanswered put may or may not have carried its gathered changes.
 TEST(WritePath, UnansweredPutsOfGatheredEndsAreSettled) {
   for (const bool at_once : {true, false}) {
-    ClusterSimulation w(short_budget(3));
+    ClusterSimulation cluster(short_budget(3));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
-    submit_jobs(w, kJobs, kTasks, 30);
-    w.run_until(46);
-    w.unanswered_writes(15, 0.4, at_once);
-    w.run_until(220);
-    expect_all_done(w, kJobs);
-    EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks);
+    submit_jobs(cluster, kJobs, kTasks, 30);
+    cluster.run_until(46);
+    cluster.unanswered_writes(15, 0.4, at_once);
+    cluster.run_until(220);
+    expect_all_done(cluster, kJobs);
+    EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks);
   }
 }
 
@@ -101,32 +104,32 @@
 // way round.
 TEST(WritePath, ACancellationMeetsGatheredEnds) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
-    ClusterSimulation w(short_budget(seed));
+    ClusterSimulation cluster(short_budget(seed));
     constexpr int kJobs = 8;
-    submit_jobs(w, kJobs, 12, 30);
-    for (int i = 0; i < kJobs; ++i) w.cancel("job-" + std::to_string(i), 50 + 0.3 * i);
-    w.run_until(150);
+    submit_jobs(cluster, kJobs, 12, 30);
+    for (int i = 0; i < kJobs; ++i) cluster.cancel("job-" + std::to_string(i), 50 + 0.3 * i);
+    cluster.run_until(150);
     for (int i = 0; i < kJobs; ++i) {
       const std::string id = "job-" + std::to_string(i);
-      EXPECT_TRUE(w.told(id) == "cancelled" || w.told(id) == "done") << id;
-      EXPECT_EQ(w.running(id), 0u) << id;
-      EXPECT_EQ(w.placed(id), 0u) << id;
+      EXPECT_TRUE(cluster.told(id) == "cancelled" || cluster.told(id) == "done") << id;
+      EXPECT_EQ(cluster.running(id), 0u) << id;
+      EXPECT_EQ(cluster.placed(id), 0u) << id;
     }
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(cluster.broken.empty()) << first(cluster);
   }
 }
 
 // Machines are lost, jobs end and others come, all in the same seconds.
 TEST(WritePath, AcceptancesEndsAndLostMachinesAtOnce) {
-  ClusterSimulation w(short_budget(5));
+  ClusterSimulation cluster(short_budget(5));
   constexpr int kJobs = 8, kLater = 30;
-  submit_jobs(w, kJobs, 10, 30);
-  w.run_until(50);
-  for (size_t n = 0; n < 3; ++n) w.kill_machine(n);
+  submit_jobs(cluster, kJobs, 10, 30);
+  cluster.run_until(50);
+  for (size_t n = 0; n < 3; ++n) cluster.kill_machine(n);
   for (int i = kJobs; i < kJobs + kLater; ++i)
-    w.submit(array("job-" + std::to_string(i), 1, i % 2 ? "blue" : "red"), 50);
-  w.run_until(300);
-  expect_all_done(w, kJobs + kLater);
+    cluster.submit(array("job-" + std::to_string(i), 1, i % 2 ? "blue" : "red"), 50);
+  cluster.run_until(300);
+  expect_all_done(cluster, kJobs + kLater);
 }
 
 // One team's thousand tasks and an urgent job of another: it starts within seconds, though the
@@ -135,17 +138,17 @@
   auto options = short_budget(7);
   options.nodes = 1;  // both teams are one controller's
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
-  ClusterSimulation w(options);
-  for (int i = 0; i < 60; ++i) w.submit(array("job-" + std::to_string(i), 2), 30 + 0.05 * i);
+  ClusterSimulation cluster(options);
+  for (int i = 0; i < 60; ++i) cluster.submit(array("job-" + std::to_string(i), 2), 30 + 0.05 * i);
   auto urgent = array("job-urgent", 1, "blue");
   urgent.rank = store::Rank::high;
-  w.submit(urgent, 45);
-  w.run_until(44);
-  ASSERT_LT(total_starts(w, 60), 120u);  // the flood is still being placed
-  w.run_until(54.8);
-  EXPECT_EQ(w.starts_of("job-urgent"), 1u);
-  w.run_until(200);
-  expect_all_done(w, 60);
+  cluster.submit(urgent, 45);
+  cluster.run_until(44);
+  ASSERT_LT(total_starts(cluster, 60), 120u);  // the flood is still being placed
+  cluster.run_until(54.8);
+  EXPECT_EQ(cluster.starts_of("job-urgent"), 1u);
+  cluster.run_until(200);
+  expect_all_done(cluster, 60);
 }
 
 // The service falls to a tenth of its rate while much is gathered.
@@ -153,30 +156,30 @@
   auto options = short_budget(9);
   options.state_write_rps = 10;
   options.next_write_rps = 2;
-  ClusterSimulation w(options);
+  ClusterSimulation cluster(options);
   constexpr int kJobs = 8;
   constexpr uint32_t kTasks = 12;
-  submit_jobs(w, kJobs, kTasks, 30);
-  w.run_until(47);
-  w.lower_write_rate();
-  w.run_until(300);
-  expect_all_done(w, kJobs);
-  EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks);
+  submit_jobs(cluster, kJobs, kTasks, 30);
+  cluster.run_until(47);
+  cluster.lower_write_rate();
+  cluster.run_until(300);
+  expect_all_done(cluster, kJobs);
+  EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks);
 }
 
 // The address of a machine waits for a budget; until then its part's next owner knows it from the
 // worker's reports alone.
 TEST(WritePath, AMachineWhoseAddressIsNotWrittenYetChangesItsOwner) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
-    ClusterSimulation w(short_budget(seed));
+    ClusterSimulation cluster(short_budget(seed));
     constexpr int kJobs = 8;
     constexpr uint32_t kTasks = 12;
-    submit_jobs(w, kJobs, kTasks, 3);
+    submit_jobs(cluster, kJobs, kTasks, 3);
     for (int n = 0; n < 3; ++n)
-      w.at(16 + 0.5 * static_cast<double>(seed), [&w, n] { w.kill_node(n, 4); });
-    w.run_until(200);
-    expect_all_done(w, kJobs);
-    EXPECT_EQ(total_starts(w, kJobs), kJobs * kTasks) << seed;
+      cluster.at(16 + 0.5 * static_cast<double>(seed), [&cluster, n] { cluster.kill_node(n, 4); });
+    cluster.run_until(200);
+    expect_all_done(cluster, kJobs);
+    EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks) << seed;
   }
 }
 
