--- a/src/coordination/membership/budget_share.h
+++ b/src/coordination/membership/budget_share.h
@@ -1,4 +1,5 @@
-// How controllers divide the state service's budget of puts among themselves.
+// How controllers divide the state store's budget of writes among themselves: a pure function.
+// Called by BudgetDivision.
 #pragma once
 #include <vector>
 
