--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -4,7 +4,6 @@
 #include <utility>
 
 #include "coordination/membership/budget_share.h"
-#include "coordination/runtime/version.h"
 
 namespace rushtrestle::coordination {
 
@@ -13,29 +12,35 @@
 
 Membership::Membership(Context& context, store::StateCache& state_cache,
                        StateStoreClient& state_store)
-    : context_(context), state_cache_(state_cache), state_store_(state_store) {
+    : context_(context),
+      state_cache_(state_cache),
+      state_store_(state_store),
+      peers_(context, state_store, peer_events()),
+      cancellations_(context, state_cache, state_store, peers_) {
   nodes_.push_back(context_.settings.node);
-  for (const auto& p : context_.settings.peers) {
-    peers_.emplace_back().settings = p;
-    nodes_.push_back(p.node);
-  }
+  for (const auto& peer : context_.settings.peers) nodes_.push_back(peer.node);
   std::sort(nodes_.begin(), nodes_.end());
   for (const auto& t : context_.settings.teams) teams_.push_back(t.name);
   std::sort(teams_.begin(), teams_.end());
 }
 
+PeerDirectory::Events Membership::peer_events() {
+  return {.own_state_for =
+              [this](const std::string& peer) {
+                PeerState own = own_state();
+                own.acknowledged = cancellations_.position(peer);
+                return own;
+              },
+          .on_peer_answered = [this](const PeerState& answer,
+                                     double asked_at) { cancellations_.accept(answer, asked_at); }};
+}
+
 int Membership::shard_of_team(const std::string& team) const {
   const auto it = std::lower_bound(teams_.begin(), teams_.end(), team);
   if (it == teams_.end() || *it != team) return -1;
   return static_cast<int>(it - teams_.begin()) % shards();
 }
 
-const Membership::Peer* Membership::peer(const std::string& node) const {
-  for (const auto& p : peers_)
-    if (p.settings.node == node) return &p;
-  return nullptr;
-}
-
 uint64_t Membership::shard_token(int shard) const {
   const auto it = shard_tokens_.find(shard);
   return it != shard_tokens_.end() && state_cache_.revision() >= it->second ? it->second : 0;
@@ -46,184 +51,14 @@
   return h && h->present ? h->record.node : "";
 }
 
-bool Membership::peer_hears(const std::string& machine) const {
-  return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const Peer& p) { return fresh(p) && p.hears.count(machine) != 0; });
-}
-
 bool Membership::leads_a_shard(const std::string& node) const {
   for (int shard = 0; shard < shards(); ++shard)
     if (shard_leader(shard) == node) return true;
   return false;
 }
 
-std::vector<std::string> Membership::controllers_heard() const {
-  std::vector<std::string> out;
-  for (const auto& p : peers_)
-    if (fresh(p)) out.push_back(p.settings.node);
-  return out;
-}
-
-std::string Membership::address_of(const std::string& node) const {
-  const Peer* p = peer(node);
-  return p && fresh(*p) ? p->settings.address : "";
-}
-
-std::string Membership::relay_peer(const std::string& node) const {
-  for (const auto& p : peers_)
-    if (fresh(p) && p.settings.node != node &&
-        std::find(p.state.nodes.begin(), p.state.nodes.end(), node) != p.state.nodes.end())
-      return p.settings.node;
-  return "";
-}
-
-bool Membership::outage_shared() const {
-  return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const Peer& p) {
-    return fresh(p) && !p.state.has_state_store;
-  });
-}
-
-bool Membership::all_read(uint64_t record_format) const {
-  return std::all_of(peers_.begin(), peers_.end(), [&](const Peer& p) {
-    return fresh(p) && p.state.record_format >= record_format;
-  });
-}
-
-store::Json Membership::versions() const {
-  store::Json out = {{context_.settings.node,
-                      {{"version", program_version()}, {"record_format", store::kRecordFormat}}}};
-  for (const auto& p : peers_) {
-    auto& entry = out[p.settings.node];
-    entry["heard"] = fresh(p);
-    if (!fresh(p)) continue;
-    entry["version"] = p.state.version.empty() ? "before 0.2.0" : p.state.version;
-    entry["record_format"] = p.state.record_format;
-  }
-  return out;
-}
-
-// Every cancellation that any user was told of before this time is known here: by our state cache,
-// or because the controller that told it has handed over all that it knows. Not the time of the
-// last contact with the state service: renewals may succeed while changes, cancellations among
-// them, don't come.
-double Membership::covered_until() const {
-  // What our own earlier incarnations told is durable, and so in every state cache that was read
-  // since.
-  double until = state_store_.ever_synced() ? context_.now : previous_incarnation_covered_until_;
-  for (const auto& p : peers_)
-    until = std::min(until, std::max(p.covered_until, state_store_.current_at()));
-  return until;
-}
-
-bool Membership::knows_cancellations() const {
-  return context_.now - covered_until() < context_.tunables.disconnected_limit_s;
-}
-
-bool Membership::may_renew_workers() const {
-  // Without a lease the keys may have gone to others.
-  return state_store_.lease_valid() ? knows_cancellations() : may_renew_while_disconnected();
-}
-
-bool Membership::may_renew_while_disconnected() const {
-  // A peer that has the state service tells that we are the ones cut off: yield.
-  for (const auto& p : peers_)
-    if (fresh(p) && p.state.has_state_store) return false;
-  return knows_cancellations();
-}
-
-CancellationOffer Membership::offer_cancellations(const PeerState& asker) const {
-  constexpr size_t kMost = 512;  // a message; what is left follows at once
-  const auto& all = state_cache_.cancellations();
-  CancellationOffer h;
-  h.mark.incarnation = context_.incarnation;
-  if (asker.acknowledged && asker.acknowledged->incarnation == context_.incarnation &&
-      asker.acknowledged->count <= all.size())
-    h.from = asker.acknowledged->count;
-  uint64_t& count = h.mark.count = h.from;
-  for (; count < all.size() && h.cancellations.size() < kMost; ++count)
-    if (all[count].mod_revision > asker.revision) h.cancellations.push_back(all[count]);
-  h.whole = count == all.size();
-  return h;
-}
-
-// The state service refuses us alone, others confirm cancellations, and then it is away for all:
-// that all lack it says nothing of what they told before. What they hold is asked of them; the
-// times are ours, of asking.
-void Membership::accept_cancellations(Peer& p, const PeerState& said, double asked_at) {
-  if (!said.offered_cancellations ||
-      said.offered_cancellations->mark.incarnation != said.incarnation)
-    return;
-  const CancellationOffer& h = *said.offered_cancellations;
-  const bool goes_on = p.known.incarnation == said.incarnation && h.from <= p.known.count;
-  if (!goes_on && h.from != 0) return;  // a gap: the next one begins anew
-  for (const auto& c : h.cancellations) state_cache_.add_unconfirmed_cancellation(c);
-  p.known = h.mark;
-  if (!h.whole) {
-    p.next_send = context_.now;
-    return;
-  }
-  // One that never read the keys may have told something in an earlier incarnation that it does not
-  // know now.
-  if (!said.current_age_s) return;
-  constexpr double kDrift = 1.001;
-  const double current_at = asked_at - std::max(0.0, *said.current_age_s) * kDrift;
-  for (auto& other : peers_) other.covered_until = std::max(other.covered_until, current_at);
-  previous_incarnation_covered_until_ = std::max(previous_incarnation_covered_until_, current_at);
-  p.covered_until = std::max(p.covered_until, asked_at);
-}
-
-void Membership::on_peer_state(const PeerState& state) {
-  // Held up by a cut or by our own standstill, what a peer said minutes ago would count as said
-  // now: that it lacks the state service, say, or that an earlier incarnation is alive.
-  if (state.at <
-      context_.wall - context_.tunables.peer_fresh_s - 2 * context_.settings.clock_error_s)
-    return;
-  for (auto& p : peers_) {
-    if (p.settings.node != state.node) continue;
-    const bool steady = fresh(p) && p.state.incarnation == state.incarnation &&
-                        p.state.has_state_store && p.state.synced && state.has_state_store &&
-                        state.synced;
-    if (!steady) p.steady_since = context_.now;
-    p.state = state;
-    p.hears.clear();
-    p.hears.insert(std::make_move_iterator(p.state.machines_heard.begin()),
-                   std::make_move_iterator(p.state.machines_heard.end()));
-    p.state.machines_heard.clear();
-    p.state.offered_cancellations.reset();
-    p.heard_at = context_.now;
-  }
-}
-
-// Both sides of the exchange know of each other now, so ours can wait: with each asking the other
-// in every period, a fifth of all messages of a busy controller were these. Not where cancellations
-// have to be handed over, which only the answer to our own question brings.
-void Membership::on_peer_query(const PeerState& state) {
-  on_peer_state(state);
-  if (state_store_.disconnected() || !state.has_state_store) return;
-  for (auto& p : peers_)
-    if (p.settings.node == state.node)
-      p.next_send =
-          std::max(p.next_send, context_.now + context_.jitter(context_.tunables.peer_every_s));
-}
-
-void Membership::send_state(Peer& p) {
-  p.sending_state = true;
-  p.next_send = context_.now + context_.jitter(context_.tunables.peer_every_s);
-  PeerState own = own_state();
-  own.acknowledged = p.known;
-  context_.call(SendPeerState{p.settings.address, std::move(own)}, context_.tunables.peer_every_s,
-                [this, &p, asked_at = context_.now](CallDone&& d) {
-                  p.sending_state = false;
-                  const auto* state = std::get_if<PeerState>(&d.reply);
-                  if (d.status != 200 || !state || state->node != p.settings.node) return;
-                  on_peer_state(*state);
-                  accept_cancellations(p, *state, asked_at);
-                });
-}
-
 void Membership::tick() {
-  for (auto& p : peers_)
-    if (!p.sending_state && context_.now >= p.next_send) send_state(p);
+  peers_.send_due_queries();
   divide_budget();
 
   // Work begins once the state cache covers all that earlier shard leaders wrote: a job's end
@@ -253,14 +88,14 @@
   const double even = 1.0 / static_cast<double>(nodes_.size());
   const double least = even * Tunables::kIdleShare;
   std::vector<double> others;
-  for (const auto& p : peers_) {
-    if (fresh(p)) {
+  for (const auto& peer : peers_.peers()) {
+    if (peers_.fresh(peer)) {
       // A version that does not tell its need takes by its backlog, and reckons with others that do
       // the same.
       const double told =
-          p.state.budget_need.value_or(even * (1 + std::min(p.state.backlog, 20.0)) / 2);
+          peer.state.budget_need.value_or(even * (1 + std::min(peer.state.backlog, 20.0)) / 2);
       others.push_back(std::max(least, told));
-    } else if (leads_a_shard(p.settings.node)) {
+    } else if (leads_a_shard(peer.settings.node)) {
       // We don't hear it, but it is alive behind refused connections and spends, too: with each
       // controller taking the whole budget for its own, all of them were refused for the rate.
       others.push_back(std::max(even, state_store_.need()));
@@ -271,10 +106,7 @@
 
 double Membership::next_due() const {
   if (!absent_since_.empty()) return context_.now;  // a key to claim: every moment may count
-  double due = kNoDueTime;
-  for (const auto& p : peers_)
-    if (!p.sending_state) due = std::min(due, p.next_send);
-  return due;
+  return peers_.next_due();
 }
 
 void Membership::consider_claim(const std::string& key, int home, int distance) {
@@ -289,11 +121,8 @@
   const auto [it, fresh_absence] = absent_since_.emplace(key, context_.now);
   // Home first; the others step in one after the other, later if home seems to be alive.
   double wait = context_.tunables.renew_every_s / 2 * distance;
-  if (distance > 0) {
-    const Peer* home_peer = peer(nodes_[static_cast<size_t>(home)]);
-    if (home_peer && fresh(*home_peer) && home_peer->state.has_state_store)
-      wait += context_.tunables.state_lease_s / 2;
-  }
+  if (distance > 0 && peers_.has_state_store(nodes_[static_cast<size_t>(home)]))
+    wait += context_.tunables.state_lease_s / 2;
   if (context_.now - it->second >= wait) claim(key, 0);
 }
 
@@ -349,11 +178,7 @@
 
 void Membership::release_shard(int shard) {
   const std::string& home = nodes_[static_cast<size_t>(shard % shards())];
-  if (home == context_.settings.node) return;
-  const Peer* p = peer(home);
-  if (!p || !fresh(*p) || !p->state.has_state_store || !p->state.synced ||
-      context_.now - p->steady_since < context_.tunables.home_steady_s)
-    return;
+  if (home == context_.settings.node || !peers_.steady(home)) return;
   const std::string key = shard_key(shard);
   if (claiming_[key]) return;
   claiming_[key] = true;
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -1,12 +1,25 @@
-// Who is alive, who holds which shard, who leads; all proven by leased keys.
+// Who is alive, who leads which shard and who is the cluster leader: the modules of this package
+// put together, and the order in which they do their work.
+//
+// PeerDirectory has the peers' own words and the failure detector, CancellationExchange says
+// whether workers may be answered. The lease keys and the division of the write budget are still
+// here.
+//
+// Invariant: no key is claimed or released without a valid lease and a synced state cache.
+//
+// Called by Core, which sets the callbacks before anything else; all other packages ask it who
+// leads, with which fencing token, and whether workers may be answered. Names of controllers are
+// the `node` of the settings.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <set>
 #include <string>
-#include <unordered_set>
 #include <vector>
 
+#include "coordination/membership/cancellation_exchange.h"
+#include "coordination/membership/peer_directory.h"
 #include "coordination/state/state_store_client.h"
 
 namespace rushtrestle::coordination {
@@ -14,71 +27,83 @@
 class Membership {
  public:
   Membership(Context& context, store::StateCache& state_cache, StateStoreClient& state_store);
+  Membership(const Membership&) = delete;
+  Membership& operator=(const Membership&) = delete;
 
+  /// This controller's state, as it is told to peers.
+  std::function<PeerState()> own_state;
+  /// A shard is led here from now on.
+  std::function<void(int shard)> on_shard_acquired;
+  /// A shard that was acquired is led here no more.
+  std::function<void(int shard)> on_shard_lost;
+
+  /// Does what is due by the clock. To be called after each batch of commands.
   void tick();
-  void on_peer_state(const PeerState& state);
-  /// A peer has told its state and is told ours in the answer.
-  void on_peer_query(const PeerState& state);
-  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as can be.
+  /// Steady time at which `tick` has something to do by the clock alone; a time that has passed: as
+  /// soon as can be.
   double next_due() const;
+  /// A peer has told its state.
+  void on_peer_state(const PeerState& state) { peers_.on_peer_state(state); }
+  /// A peer has told its state and is told ours in the answer.
+  void on_peer_query(const PeerState& state) { peers_.on_peer_query(state); }
+  /// The state cache has a new value, or none, for a key that is held by lease.
   void on_lease_holder_changed(const std::string& key);
+  /// Our lease at the state store has ended, and with it all keys that we held by it.
   void on_lease_lost();
 
+  /// Number of shards; one a controller.
   int shards() const { return context_.settings.nodes; }
-  int shard_of_team(const std::string& team) const;  // -1: unknown team
-  /// Mod revision of the shard's key if this node holds it and its state cache covers that; 0
-  /// otherwise.
+  /// -1: the settings don't have the team.
+  int shard_of_team(const std::string& team) const;
+  /// Fencing token: mod revision of the shard's key if this controller holds it and its state cache
+  /// covers that; 0 otherwise.
   uint64_t shard_token(int shard) const;
+  /// Controller that holds the shard according to the state cache; empty: none known.
+  std::string shard_leader(int shard) const;
+  /// The controller holds some shard according to the state cache.
+  bool leads_a_shard(const std::string& node) const;
+
+  /// This controller may act as the cluster leader now.
   bool leading() const {
     return leader_revision_ != 0 && state_store_.lease_valid() &&
            state_cache_.revision() >= leader_revision_;
   }
+  /// Mod revision of the cluster leader's key if it names this controller; 0 otherwise.
   uint64_t leader_revision() const { return leader_revision_; }
-  /// May this node still answer workers of the shards it holds?
-  bool may_renew_workers() const;
+
+  /// May this controller answer workers of the shards that it leads?
+  bool may_renew_workers() const { return cancellations_.may_renew_workers(); }
   /// Without a lease: may a worker's lease be renewed all the same?
-  bool may_renew_while_disconnected() const;
-  /// Node that holds the shard according to the state cache; empty: none known.
-  std::string shard_leader(int shard) const;
-  bool peer_hears(const std::string& machine) const;
-  std::vector<std::string> controllers_heard() const;
+  bool may_renew_while_disconnected() const {
+    return cancellations_.may_renew_while_disconnected();
+  }
+  /// In answer to a peer: the cancellations that it has not shown to know.
+  CancellationOffer offer_cancellations(const PeerState& asker) const {
+    return cancellations_.offer(asker);
+  }
+
+  /// A peer that we hear has heard from the machine lately.
+  bool peer_hears(const std::string& machine) const { return peers_.peer_hears(machine); }
+  /// The controllers that we hear, but for this one.
+  std::vector<std::string> controllers_heard() const { return peers_.controllers_heard(); }
   /// Address of a controller that we hear; empty: we don't.
-  std::string address_of(const std::string& node) const;
+  std::string address_of(const std::string& node) const {
+    return peers_.address_of(node).value_or("");
+  }
   /// A controller that we hear and that hears `node`; empty: none.
-  std::string relay_peer(const std::string& node) const;
-  bool leads_a_shard(const std::string& node) const;
-  bool outage_shared() const;
+  std::string relay_peer(const std::string& node) const {
+    return peers_.relay_peer(node).value_or("");
+  }
+  /// Every peer was heard lately and lacks the state store.
+  bool outage_shared() const { return peers_.outage_shared(); }
   /// Every other controller has said within the last moments that it reads this record format.
-  bool all_read(uint64_t record_format) const;
-  /// What each controller runs, for operators.
-  store::Json versions() const;
-  /// In answer to a peer: the cancellations that it has not shown to know.
-  CancellationOffer offer_cancellations(const PeerState& asker) const;
-
-  std::function<PeerState()> own_state;
-  std::function<void(int shard)> on_shard_acquired, on_shard_lost;
+  bool all_read(uint64_t record_format) const { return peers_.all_read(record_format); }
+  /// For operators: what each controller runs.
+  store::Json versions() const { return peers_.versions(); }
 
  private:
-  struct Peer {
-    store::PeerSettings settings;
-    PeerState state;  // but for the machines that it hears:
-    std::unordered_set<std::string> hears;
-    double heard_at = kLongAgo, steady_since = 0;
-    double next_send = 0;
-    bool sending_state = false;
-    CancellationPosition known;  // of its cancellations, here
-    double covered_until =
-        kLongAgo;  // every cancellation that it told before this time is known here
-  };
-  bool fresh(const Peer& p) const {
-    return context_.now - p.heard_at < context_.tunables.peer_fresh_s;
-  }
-  const Peer* peer(const std::string& node) const;
-  void send_state(Peer& p);
+  PeerDirectory::Events peer_events();
   void divide_budget();
-  void accept_cancellations(Peer& p, const PeerState& said, double asked_at);
-  double covered_until() const;
-  bool knows_cancellations() const;
   void claim(const std::string& key, uint64_t expected);
   void consider_claim(const std::string& key, int home, int distance);
   void release_shard(int shard);
@@ -86,7 +111,8 @@
   Context& context_;
   store::StateCache& state_cache_;
   StateStoreClient& state_store_;
-  std::vector<Peer> peers_;
+  PeerDirectory peers_;
+  CancellationExchange cancellations_;
   std::vector<std::string> nodes_;  // sorted by name: the i-th is home of shard i
   std::vector<std::string> teams_;  // sorted by name
   std::map<std::string, double> absent_since_;
@@ -94,8 +120,6 @@
   std::map<int, uint64_t> shard_tokens_;  // shard -> mod revision of its key
   std::set<int> acquiring_;  // held, but the state cache does not cover the key's mod revision yet
   uint64_t leader_revision_ = 0;
-  double previous_incarnation_covered_until_ =
-      kLongAgo;  // what earlier incarnations of this node told
 };
 
 }  // namespace rushtrestle::coordination
