--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -1,9 +1,10 @@
 // Who is alive, who leads which shard and who is the cluster leader: the modules of this package
 // put together, and the order in which they do their work.
 //
-// PeerDirectory has the peers' own words and the failure detector, CancellationExchange says
-// whether workers may be answered. The lease keys and the division of the write budget are still
-// here.
+// Membership owns the modules and decides nothing itself: what it is asked goes to the module that
+// knows. PeerDirectory has the peers' own words and the failure detector, CancellationExchange says
+// whether workers may be answered, ShardAssignment and LeaderElection hold the lease keys, by way
+// of LeaseClaims. The division of the write budget is still here.
 //
 // Invariant: no key is claimed or released without a valid lease and a synced state cache.
 //
@@ -13,13 +14,15 @@
 #pragma once
 #include <cstdint>
 #include <functional>
-#include <map>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "coordination/membership/cancellation_exchange.h"
+#include "coordination/membership/controller_order.h"
+#include "coordination/membership/leader_election.h"
+#include "coordination/membership/lease_claims.h"
 #include "coordination/membership/peer_directory.h"
+#include "coordination/membership/shard_assignment.h"
 #include "coordination/state/state_store_client.h"
 
 namespace rushtrestle::coordination {
@@ -52,24 +55,24 @@
   void on_lease_lost();
 
   /// Number of shards; one a controller.
-  int shards() const { return context_.settings.nodes; }
+  int shards() const { return order_.shards(); }
   /// -1: the settings don't have the team.
-  int shard_of_team(const std::string& team) const;
+  int shard_of_team(const std::string& team) const {
+    constexpr int kUnknownTeam = -1;
+    return shards_.shard_of_team(team).value_or(kUnknownTeam);
+  }
   /// Fencing token: mod revision of the shard's key if this controller holds it and its state cache
   /// covers that; 0 otherwise.
-  uint64_t shard_token(int shard) const;
+  uint64_t shard_token(int shard) const { return shards_.fencing_token(shard).value_or(0); }
   /// Controller that holds the shard according to the state cache; empty: none known.
-  std::string shard_leader(int shard) const;
+  std::string shard_leader(int shard) const { return shards_.leader_of(shard).value_or(""); }
   /// The controller holds some shard according to the state cache.
-  bool leads_a_shard(const std::string& node) const;
+  bool leads_a_shard(const std::string& node) const { return shards_.leads_a_shard(node); }
 
   /// This controller may act as the cluster leader now.
-  bool leading() const {
-    return leader_revision_ != 0 && state_store_.lease_valid() &&
-           state_cache_.revision() >= leader_revision_;
-  }
+  bool leading() const { return leader_.leading(); }
   /// Mod revision of the cluster leader's key if it names this controller; 0 otherwise.
-  uint64_t leader_revision() const { return leader_revision_; }
+  uint64_t leader_revision() const { return leader_.mod_revision().value_or(0); }
 
   /// May this controller answer workers of the shards that it leads?
   bool may_renew_workers() const { return cancellations_.may_renew_workers(); }
@@ -103,23 +106,17 @@
 
  private:
   PeerDirectory::Events peer_events();
+  ShardAssignment::Events shard_events();
   void divide_budget();
-  void claim(const std::string& key, uint64_t expected);
-  void consider_claim(const std::string& key, int home, int distance);
-  void release_shard(int shard);
 
   Context& context_;
-  store::StateCache& state_cache_;
   StateStoreClient& state_store_;
+  ControllerOrder order_;
   PeerDirectory peers_;
   CancellationExchange cancellations_;
-  std::vector<std::string> nodes_;  // sorted by name: the i-th is home of shard i
-  std::vector<std::string> teams_;  // sorted by name
-  std::map<std::string, double> absent_since_;
-  std::map<std::string, bool> claiming_;
-  std::map<int, uint64_t> shard_tokens_;  // shard -> mod revision of its key
-  std::set<int> acquiring_;  // held, but the state cache does not cover the key's mod revision yet
-  uint64_t leader_revision_ = 0;
+  LeaseClaims claims_;
+  ShardAssignment shards_;
+  LeaderElection leader_;
 };
 
 }  // namespace rushtrestle::coordination
