--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -1,10 +1,5 @@
 #include "coordination/membership/membership.h"
 
-#include <algorithm>
-#include <utility>
-
-#include "coordination/membership/budget_share.h"
-
 namespace rushtrestle::coordination {
 
 Membership::Membership(Context& context, store::StateCache& state_cache,
@@ -16,7 +11,8 @@
       cancellations_(context, state_cache, state_store, peers_),
       claims_(context, state_cache, state_store, peers_),
       shards_(context, state_cache, order_, peers_, claims_, shard_events()),
-      leader_(context, state_cache, state_store, order_, claims_) {}
+      leader_(context, state_cache, state_store, order_, claims_),
+      budget_(state_store, order_, peers_, shards_) {}
 
 PeerDirectory::Events Membership::peer_events() {
   return {.own_state_for =
@@ -36,7 +32,7 @@
 
 void Membership::tick() {
   peers_.send_due_queries();
-  divide_budget();
+  budget_.update();
   shards_.finish_acquisitions();
   if (!state_store_.synced() || !state_store_.lease_valid()) return;
   shards_.claim_vacant();
@@ -44,27 +40,6 @@
   shards_.release_to_home_controllers();
 }
 
-// The budget follows the work: who needs more takes what others leave.
-void Membership::divide_budget() {
-  const double even = 1.0 / static_cast<double>(order_.size());
-  const double least = even * Tunables::kIdleShare;
-  std::vector<double> others;
-  for (const auto& peer : peers_.peers()) {
-    if (peers_.fresh(peer)) {
-      // A version that does not tell its need takes by its backlog, and reckons with others that do
-      // the same.
-      const double told =
-          peer.state.budget_need.value_or(even * (1 + std::min(peer.state.backlog, 20.0)) / 2);
-      others.push_back(std::max(least, told));
-    } else if (leads_a_shard(peer.settings.node)) {
-      // We don't hear it, but it is alive behind refused connections and spends, too: with each
-      // controller taking the whole budget for its own, all of them were refused for the rate.
-      others.push_back(std::max(even, state_store_.need()));
-    }
-  }
-  state_store_.set_weight(fair_share(std::max(least, state_store_.need()), std::move(others)));
-}
-
 double Membership::next_due() const {
   if (claims_.any_vacant()) return context_.now;  // a key to claim: every moment may count
   return peers_.next_due();
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -4,7 +4,7 @@
 // Membership owns the modules and decides nothing itself: what it is asked goes to the module that
 // knows. PeerDirectory has the peers' own words and the failure detector, CancellationExchange says
 // whether workers may be answered, ShardAssignment and LeaderElection hold the lease keys, by way
-// of LeaseClaims. The division of the write budget is still here.
+// of LeaseClaims, and BudgetDivision reckons this controller's part of the write budget.
 //
 // Invariant: no key is claimed or released without a valid lease and a synced state cache.
 //
@@ -17,6 +17,7 @@
 #include <string>
 #include <vector>
 
+#include "coordination/membership/budget_division.h"
 #include "coordination/membership/cancellation_exchange.h"
 #include "coordination/membership/controller_order.h"
 #include "coordination/membership/leader_election.h"
@@ -107,7 +108,6 @@
  private:
   PeerDirectory::Events peer_events();
   ShardAssignment::Events shard_events();
-  void divide_budget();
 
   Context& context_;
   StateStoreClient& state_store_;
@@ -117,6 +117,7 @@
   LeaseClaims claims_;
   ShardAssignment shards_;
   LeaderElection leader_;
+  BudgetDivision budget_;
 };
 
 }  // namespace rushtrestle::coordination
