--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -1,192 +1,195 @@
 #include "coordination/jobs/job_service.h"
 
 #include <algorithm>
-
-#include "coordination/scheduling/placement.h"
+#include <utility>
+#include <vector>
 
 namespace rushtrestle::coordination {
 
-using store::JobKind;
 using store::JobRecord;
 using store::JobStatus;
 
-void JobService::answer(RequestId r, int status, const std::string& id) {
-  AnswerUser a{r, status, std::nullopt, 0};
-  if (const auto* job = id.empty() ? nullptr : state_cache_.job(id)) {
-    const auto& rec = job->record;
-    a.job =
-        JobView{id, rec.status, rec.done.size(), rec.status == JobStatus::open ? rec.running() : 0};
+namespace {
+
+constexpr int kOk = 200;
+constexpr int kCreated = 201;
+constexpr int kNotFound = 404;
+constexpr int kCanNeverRun = 422;
+constexpr int kUnavailable = 503;
+
+constexpr double kRetryAfterS = 1;
+/// The first record format with cancellations beside job records.
+constexpr uint64_t kFormatWithCancellations = 1;
+
+}  // namespace
+
+// ---- answers ----
+
+void JobService::answer(RequestId request, int status) {
+  context_.out.push_back(AnswerUser{request, status, std::nullopt, 0});
+}
+
+void JobService::answer_with_job(RequestId request, int status, const std::string& id) {
+  AnswerUser reply{request, status, std::nullopt, 0};
+  if (const auto* job = state_cache_.job(id)) {
+    const auto& record = job->record;
+    reply.job = JobView{id, record.status, record.done.size(),
+                        record.status == JobStatus::open ? record.running() : 0};
   } else if (const auto* finished = state_cache_.finished_job(id)) {
-    a.job = JobView{id, finished->status, finished->tasks_done, 0};
+    reply.job = JobView{id, finished->status, finished->tasks_done, 0};
   }
-  context_.out.push_back(std::move(a));
+  context_.out.push_back(std::move(reply));
 }
 
-void JobService::refuse(RequestId r, double retry_after_s) {
-  context_.counters["refused"]++;
-  context_.out.push_back(AnswerUser{r, 503, std::nullopt, retry_after_s});
+void JobService::answer_if_known(RequestId request, const std::string& id, int status_if_unknown) {
+  state_store_.wait_for_read_barrier([this, request, id, status_if_unknown](bool current) {
+    if (!current) return refuse(request, kRetryAfterS);
+    if (!state_cache_.knows_job(id)) return answer(request, status_if_unknown);
+    answer_with_job(request, kOk, id);
+  });
 }
 
 // A final state never changes, so even an old state cache tells it rightly.
-bool JobService::answer_if_final(RequestId r, const std::string& id) {
-  if (!final_state(id)) return false;
-  answer(r, 200, id);
+bool JobService::answer_if_final(RequestId request, const std::string& id) {
+  if (!has_final_state(id)) return false;
+  answer_with_job(request, kOk, id);
   return true;
 }
 
-bool JobService::final_state(const std::string& id) const {
-  const auto* live = state_cache_.job(id);
-  return state_cache_.finished_job(id) || (live && live->record.final_state());
+void JobService::refuse(RequestId request, double retry_after_s) {
+  context_.counters["refused"]++;
+  context_.out.push_back(AnswerUser{request, kUnavailable, std::nullopt, retry_after_s});
 }
 
-// A process over its limit is killed, and with it all that it was about to do.
-bool JobService::near_memory_limit() const {
-  constexpr double kNear = 0.85;
-  return context_.load.memory_mb > context_.settings.memory_mb * kNear;
+bool JobService::has_final_state(const std::string& id) const {
+  const auto* live = state_cache_.job(id);
+  return state_cache_.finished_job(id) || (live && live->record.final_state());
 }
 
-bool JobService::healthy() const {
-  if (!state_store_.synced()) return false;
-  // In an outage of all, answers (final states, refusals) are as good from here as from elsewhere.
-  return state_store_.lease_valid() || membership_.outage_shared();
+void JobService::settle(RequestId request, int status) {
+  const auto node = pending_.extract(request);
+  if (node.empty()) return;
+  if (status == kUnavailable) {
+    refuse(request, kRetryAfterS);
+  } else {
+    answer_with_job(request, status, node.mapped().id);
+  }
 }
 
-bool JobService::can_ever_run(const store::JobSpec& s) const {
-  const auto team = std::find_if(context_.settings.teams.begin(), context_.settings.teams.end(),
-                                 [&](const auto& t) { return t.name == s.team; });
-  if (team == context_.settings.teams.end()) return false;
-  store::Resources need;
-  need.add(s.per_task, s.kind == JobKind::array ? 1 : s.tasks);
-  if (need.cpus > team->quota.cpus + store::Resources::kSlack ||
-      need.gpus > team->quota.gpus + store::Resources::kSlack)
-    return false;
-  return std::any_of(
-      state_cache_.types().begin(), state_cache_.types().end(), [&](const store::MachineType& t) {
-        return type_allowed(s, t.name) && s.per_task.fits(t.size) &&
-               (!s.zone || std::find(t.zones.begin(), t.zones.end(), *s.zone) != t.zones.end());
-      });
-}
+// ---- submissions ----
 
-void JobService::submit(SubmitJob&& s) {
+void JobService::submit(SubmitJob&& submission) {
   context_.counters["submissions"]++;
-  const std::string id = s.spec.id;
-  if (answer_if_final(s.request, id)) return;
-  if (state_store_.disconnected() || state_cache_.types().empty()) return refuse(s.request, 1);
-  if (state_cache_.knows_job(id)) {
-    const RequestId r = s.request;
-    state_store_.wait_for_read_barrier(
-        [this, r, id](bool ok) { ok ? answer(r, 200, id) : refuse(r, 1); });
-    return;
-  }
-  if (!can_ever_run(s.spec)) {
-    // A node that lags must not refuse a job that another has accepted.
-    const RequestId r = s.request;
-    state_store_.wait_for_read_barrier([this, r, id](bool ok) {
-      if (!ok) return refuse(r, 1);
-      state_cache_.knows_job(id) ? answer(r, 200, id) : answer(r, 422);
-    });
-    return;
-  }
-  if (near_memory_limit()) {
-    context_.counters["submissions_shed_for_memory"]++;
-    return refuse(s.request, context_.settings.lease_s);
+  const RequestId request = submission.request;
+  const std::string id = submission.spec.id;
+  if (answer_if_final(request, id)) return;
+  const AdmissionDecision decision = admission_.decide(submission.spec);
+  switch (decision.verdict) {
+    case AdmissionDecision::Verdict::shed_for_memory:
+      context_.counters["submissions_shed_for_memory"]++;
+      return refuse(request, decision.retry_after_s);
+    case AdmissionDecision::Verdict::retry_later: return refuse(request, decision.retry_after_s);
+    case AdmissionDecision::Verdict::known: return answer_if_known(request, id, kOk);
+    // A controller that lags must not refuse a job that another has accepted.
+    case AdmissionDecision::Verdict::can_never_run:
+      return answer_if_known(request, id, kCanNeverRun);
+    case AdmissionDecision::Verdict::admit: break;
   }
-  const double delay = state_store_.accept_delay(s.spec.rank);
-  if (delay > context_.tunables.user_wait_s / 2) return refuse(s.request, delay);
-  pending_[s.request] = {Kind::submit, id, std::move(s.spec),
-                         context_.now + context_.tunables.user_wait_s};
-  write_submit(s.request);
-}
-
-void JobService::write_submit(RequestId r) {
-  const std::string id = pending_.at(r).id;
-  WriteRequest w;
-  w.key = store::job_key(id);
-  w.cause = WriteCause::acceptance;
-  w.rank = pending_.at(r).spec.rank;
-  w.team = pending_.at(r).spec.team;
-  w.prepare = [this, r, id](Prepared& p) {
-    const auto it = pending_.find(r);
-    if (it == pending_.end() || state_cache_.knows_job(id)) return false;
+  pending_[request] = {id, context_.now + context_.tunables.user_wait_s,
+                       std::move(submission.spec)};
+  write_submission(request);
+}
+
+void JobService::write_submission(RequestId request) {
+  const PendingRequest& pending = pending_.at(request);
+  WriteRequest write;
+  write.key = store::job_key(pending.id);
+  write.cause = WriteCause::acceptance;
+  write.rank = pending.spec->rank;
+  write.team = pending.spec->team;
+  write.prepare = [this, request, id = pending.id](Prepared& prepared) {
+    const auto still_pending = pending_.find(request);
+    if (still_pending == pending_.end() || state_cache_.knows_job(id)) return false;
     JobRecord record;
-    record.spec = it->second.spec;
+    record.spec = *still_pending->second.spec;
     record.submitted = context_.wall;
-    p.expected = 0;
-    p.value = to_json(record);
+    prepared.expected = 0;
+    prepared.value = to_json(record);
     return true;
   };
-  w.done = [this, r, id](WriteOutcome outcome, uint64_t) {
-    if (outcome == WriteOutcome::applied) return settle(r, 201);
-    // Known by now: accepted through another request of the same user.
-    if (outcome != WriteOutcome::refused && state_cache_.knows_job(id)) {
-      state_store_.wait_for_read_barrier([this, r](bool ok) { settle(r, ok ? 200 : 503); });
-      return;
-    }
-    settle(r, 503);
+  write.done = [this, request, id = pending.id](WriteOutcome outcome, uint64_t) {
+    on_submission_written(request, id, outcome);
   };
-  state_store_.write(std::move(w));
+  state_store_.write(std::move(write));
 }
 
-void JobService::settle(RequestId r, int status) {
-  const auto node = pending_.extract(r);
-  if (node.empty()) return;
-  if (status == 503) {
-    refuse(r, 1);
-  } else {
-    answer(r, status, node.mapped().id);
+void JobService::on_submission_written(RequestId request, const std::string& id,
+                                       WriteOutcome outcome) {
+  if (outcome == WriteOutcome::applied) return settle(request, kCreated);
+  // Known by now: accepted through another request of the same user.
+  if (outcome != WriteOutcome::refused && state_cache_.knows_job(id)) {
+    state_store_.wait_for_read_barrier(
+        [this, request](bool current) { settle(request, current ? kOk : kUnavailable); });
+    return;
   }
+  settle(request, kUnavailable);
 }
 
-void JobService::query(const QueryJob& q) {
+// ---- queries ----
+
+void JobService::query(const QueryJob& query) {
   context_.counters["polls"]++;
-  if (answer_if_final(q.request, q.id)) return;
-  // Told at once, as the answer would come too late. Not sooner: a job that nothing can be learnt
-  // of is forgotten.
-  if (context_.lag > context_.tunables.shed_polls_lag_s) {
+  if (answer_if_final(query.request, query.id)) return;
+  // Refused at once, as the answer would come too late. Not sooner: a job that nothing can be
+  // learnt of is forgotten.
+  if (admission_.sheds_queries()) {
     context_.counters["polls_shed"]++;
-    return refuse(q.request, 1 + context_.lag);
+    return refuse(query.request, kRetryAfterS + context_.lag);
   }
-  state_store_.wait_for_read_barrier([this, r = q.request, id = q.id](bool ok) {
-    if (!ok) return refuse(r, 1);
-    state_cache_.knows_job(id) ? answer(r, 200, id) : answer(r, 404);
-  });
+  answer_if_known(query.request, query.id, kNotFound);
 }
 
-void JobService::cancel(const CancelJob& c) {
+// ---- cancellations ----
+
+void JobService::cancel(const CancelJob& cancellation) {
   context_.counters["cancellations"]++;
-  if (answer_if_final(c.request, c.id)) return;
-  if (state_store_.disconnected()) return refuse(c.request, 1);
-  if (!state_cache_.knows_job(c.id)) {
-    state_store_.wait_for_read_barrier([this, c](bool ok) {
-      if (!ok) return refuse(c.request, 1);
-      if (!state_cache_.knows_job(c.id)) return answer(c.request, 404);
-      cancel(c);
+  if (answer_if_final(cancellation.request, cancellation.id)) return;
+  if (state_store_.disconnected()) return refuse(cancellation.request, kRetryAfterS);
+  if (!state_cache_.knows_job(cancellation.id)) {
+    state_store_.wait_for_read_barrier([this, cancellation](bool current) {
+      if (!current) return refuse(cancellation.request, kRetryAfterS);
+      if (!state_cache_.knows_job(cancellation.id)) return answer(cancellation.request, kNotFound);
+      cancel(cancellation);
     });
     return;
   }
-  pending_[c.request] = {Kind::cancel, c.id, {}, context_.now + context_.tunables.user_wait_s};
-  write_cancel(c.request);
+  pending_[cancellation.request] = {cancellation.id, context_.now + context_.tunables.user_wait_s,
+                                    std::nullopt};
+  write_cancellation(cancellation.request);
 }
 
-void JobService::write_cancel(RequestId r) {
-  const std::string id = pending_.at(r).id;
+void JobService::write_cancellation(RequestId request) {
+  const std::string id = pending_.at(request).id;
   const auto* known = state_cache_.job(id);
-  if (known && state_cache_.record_format() >= 1 && state_store_.oversized(to_json(known->record)))
-    return write_cancel_beside(r);
-  WriteRequest w;
-  w.key = store::job_key(id);
-  w.cause = WriteCause::cancellation;
-  w.prepare = [this, r, id](Prepared& p) {
+  if (known && state_cache_.record_format() >= kFormatWithCancellations &&
+      state_store_.oversized(to_json(known->record)))
+    return write_cancellation_beside_record(request);
+  WriteRequest write;
+  write.key = store::job_key(id);
+  write.cause = WriteCause::cancellation;
+  write.prepare = [this, request, id](Prepared& prepared) {
     const auto* durable = state_cache_.job(id);
-    if (!pending_.count(r) || !durable || durable->record.final_state()) return false;
+    if (!pending_.count(request) || !durable || durable->record.final_state()) return false;
     JobRecord record = durable->record;
     record.status = JobStatus::cancelled;
-    p.expected = durable->mod_revision;
-    p.value = to_json(record);
+    prepared.expected = durable->mod_revision;
+    prepared.value = to_json(record);
     return true;
   };
-  w.done = [this, r, id](WriteOutcome outcome, uint64_t) { cancel_written(r, id, outcome); };
-  state_store_.write(std::move(w));
+  write.done = [this, request, id](WriteOutcome outcome, uint64_t) {
+    on_cancellation_written(request, id, outcome);
+  };
+  state_store_.write(std::move(write));
 }
 
 // A record that was stored under a larger limit can't be written again before enough of its tasks
@@ -194,45 +197,56 @@
 // controller reads such keys (ClusterLeader::record_format). It holds only while the record stands
 // as it was read, and the shard leader's writes of such a record hold only while there is no
 // cancellation beside it; so one of the two is first, for everybody.
-void JobService::write_cancel_beside(RequestId r) {
-  const std::string id = pending_.at(r).id;
-  WriteRequest w;
-  w.key = store::cancel_key(id);
-  w.cause = WriteCause::cancellation;
-  w.prepare = [this, r, id](Prepared& p) {
+void JobService::write_cancellation_beside_record(RequestId request) {
+  const std::string id = pending_.at(request).id;
+  WriteRequest write;
+  write.key = store::cancel_key(id);
+  write.cause = WriteCause::cancellation;
+  write.prepare = [this, request, id](Prepared& prepared) {
     const auto* durable = state_cache_.job(id);
-    if (!pending_.count(r) || !durable || durable->record.final_state() ||
+    if (!pending_.count(request) || !durable || durable->record.final_state() ||
         !state_store_.oversized(to_json(durable->record)))
       return false;
-    p.expected = 0;
-    p.value = store::Json{{"at", context_.wall}};
-    p.preconditions.push_back({store::job_key(id), durable->mod_revision});
+    prepared.expected = 0;
+    prepared.value = store::Json{{"at", context_.wall}};
+    prepared.preconditions.push_back({store::job_key(id), durable->mod_revision});
     return true;
   };
-  w.done = [this, r, id](WriteOutcome outcome, uint64_t) { cancel_written(r, id, outcome); };
-  state_store_.write(std::move(w));
+  write.done = [this, request, id](WriteOutcome outcome, uint64_t) {
+    on_cancellation_written(request, id, outcome);
+  };
+  state_store_.write(std::move(write));
 }
 
-void JobService::cancel_written(RequestId r, const std::string& id, WriteOutcome outcome) {
-  if (!pending_.count(r)) return;
-  if (final_state(id)) return settle(r, 200);
+void JobService::on_cancellation_written(RequestId request, const std::string& id,
+                                         WriteOutcome outcome) {
+  if (!pending_.count(request)) return;
+  if (has_final_state(id)) return settle(request, kOk);
   const bool again = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
                      outcome == WriteOutcome::skipped;
-  if (again && !state_store_.disconnected()) return write_cancel(r);
-  settle(r, 503);
+  if (again && !state_store_.disconnected()) return write_cancellation(request);
+  settle(request, kUnavailable);
+}
+
+// ---- health and time ----
+
+bool JobService::healthy() const {
+  if (!state_store_.synced()) return false;
+  // In an outage of all, answers (final states, refusals) are as good from here as from elsewhere.
+  return state_store_.lease_valid() || membership_.outage_shared();
 }
 
 double JobService::next_due() const {
   double due = kNoDueTime;
-  for (const auto& [r, p] : pending_) due = std::min(due, p.deadline);
+  for (const auto& [request, pending] : pending_) due = std::min(due, pending.deadline);
   return due;
 }
 
 void JobService::tick() {
   std::vector<RequestId> late;
-  for (const auto& [r, p] : pending_)
-    if (context_.now >= p.deadline || state_store_.disconnected()) late.push_back(r);
-  for (const RequestId r : late) settle(r, 503);
+  for (const auto& [request, pending] : pending_)
+    if (context_.now >= pending.deadline || state_store_.disconnected()) late.push_back(request);
+  for (const RequestId request : late) settle(request, kUnavailable);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/jobs/job_service.h
+++ b/src/coordination/jobs/job_service.h
@@ -1,55 +1,78 @@
-// Submissions, polls and cancellations; any node serves any of them.
+// JobService: what users ask of the scheduler, which is to submit, query and cancel jobs. Every
+// controller serves every user; the shard leader of the job's team takes over from the record.
+//
+// It owns the requests whose write is under way (`pending_`), and nothing of a job: that is in the
+// state store, and as far as this controller has heard of it in the state cache.
+//
+// Invariant: each request is answered once. An answer that depends on the newest state (a job is
+// known, is unknown, can never run) is given behind a read barrier; a final state never changes, so
+// it may be told from any state cache. A submission is acknowledged when its record is written.
+//
+// Called by Core alone, from its single thread.
 #pragma once
 #include <map>
+#include <optional>
 #include <string>
-#include <vector>
 
+#include "coordination/jobs/admission.h"
 #include "coordination/membership/membership.h"
 
 namespace rushtrestle::coordination {
 
 class JobService {
  public:
+  /// Keeps references to all four.
   JobService(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
              Membership& membership)
       : context_(context),
         state_cache_(state_cache),
         state_store_(state_store),
-        membership_(membership) {}
+        membership_(membership),
+        admission_(context, state_cache, state_store) {}
 
-  void submit(SubmitJob&& s);
-  void query(const QueryJob& q);
-  void cancel(const CancelJob& c);
+  /// Accepts a job. Answers with 201 (written now), 200 (was known before), 422 (can never run) or
+  /// 503 (not now; the answer says when to try again).
+  void submit(SubmitJob&& submission);
+  /// Answers with the job's state (200), 404 (no such job) or 503.
+  void query(const QueryJob& query);
+  /// Cancels a job unless it has ended. Answers with its final state (200), 404 or 503.
+  void cancel(const CancelJob& cancellation);
+  /// Whether users should send their requests to this controller.
   bool healthy() const;
+  /// Answers the requests whose time is up, and all of them with 503 while disconnected.
   void tick();
-  /// When `tick` has something to do by the clock alone.
+  /// When `tick` has something to do by the clock alone, in steady seconds.
   double next_due() const;
 
  private:
-  enum class Kind { submit, cancel };
-  struct Pending {
-    Kind kind = Kind::submit;
-    std::string id;
-    store::JobSpec spec;
+  /// A request whose write is under way.
+  struct PendingRequest {
+    std::string id;  // of the job
     double deadline = 0;
+    std::optional<store::JobSpec> spec;  // of a submission
   };
-  void answer(RequestId r, int status, const std::string& id = "");
-  void refuse(RequestId r, double retry_after_s);
-  bool final_state(const std::string& id) const;
-  bool answer_if_final(RequestId r, const std::string& id);
-  bool near_memory_limit() const;
-  bool can_ever_run(const store::JobSpec& s) const;
-  void write_submit(RequestId r);
-  void write_cancel(RequestId r);
-  void write_cancel_beside(RequestId r);
-  void cancel_written(RequestId r, const std::string& id, WriteOutcome outcome);
-  void settle(RequestId r, int status);
+
+  void answer(RequestId request, int status);
+  void answer_with_job(RequestId request, int status, const std::string& id);
+  void answer_if_known(RequestId request, const std::string& id, int status_if_unknown);
+  bool answer_if_final(RequestId request, const std::string& id);
+  void refuse(RequestId request, double retry_after_s);
+  bool has_final_state(const std::string& id) const;
+
+  void write_submission(RequestId request);
+  void on_submission_written(RequestId request, const std::string& id, WriteOutcome outcome);
+  void write_cancellation(RequestId request);
+  void write_cancellation_beside_record(RequestId request);
+  void on_cancellation_written(RequestId request, const std::string& id, WriteOutcome outcome);
+  /// Answers a pending request; does nothing if it has been answered.
+  void settle(RequestId request, int status);
 
   Context& context_;
   store::StateCache& state_cache_;
   StateStoreClient& state_store_;
   Membership& membership_;
-  std::map<RequestId, Pending> pending_;
+  Admission admission_;
+  std::map<RequestId, PendingRequest> pending_;
 };
 
 }  // namespace rushtrestle::coordination
