--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -18,8 +18,6 @@
 constexpr int kUnavailable = 503;
 
 constexpr double kRetryAfterS = 1;
-/// The first record format with cancellations beside job records.
-constexpr uint64_t kFormatWithCancellations = 1;
 
 }  // namespace
 
@@ -171,7 +169,7 @@
 void JobService::write_cancellation(RequestId request) {
   const std::string id = pending_.at(request).id;
   const auto* known = state_cache_.job(id);
-  if (known && state_cache_.record_format() >= kFormatWithCancellations &&
+  if (known && state_cache_.record_format() >= store::kFormatWithCancellations &&
       state_store_.oversized(to_json(known->record)))
     return write_cancellation_beside_record(request);
   WriteRequest write;
@@ -208,7 +206,7 @@
         !state_store_.oversized(to_json(durable->record)))
       return false;
     prepared.expected = 0;
-    prepared.value = store::Json{{"at", context_.wall}};
+    prepared.value = store::cancellation_to_json(context_.wall);
     prepared.preconditions.push_back({store::job_key(id), durable->mod_revision});
     return true;
   };
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -1,30 +1,47 @@
 #include "store/state_cache.h"
 
+#include <utility>
+
 namespace rushtrestle::store {
 
 namespace {
-bool has_prefix(const std::string& s, const char* prefix) { return s.rfind(prefix, 0) == 0; }
+
+bool has_prefix(const std::string& text, const char* prefix) { return text.rfind(prefix, 0) == 0; }
+
+/// What stands after the prefix of a key; none for a key without it.
+std::optional<std::string> id_in_key(const std::string& key, const char* prefix) {
+  if (!has_prefix(key, prefix)) return std::nullopt;
+  return key.substr(std::char_traits<char>::length(prefix));
+}
+
 template <class Map>
 auto find_in(const Map& map, const std::string& key) -> decltype(&map.begin()->second) {
-  auto it = map.find(key);
-  return it == map.end() ? nullptr : &it->second;
+  const auto found = map.find(key);
+  return found == map.end() ? nullptr : &found->second;
 }
+
 }  // namespace
 
+// ---- changes ----
+
 bool StateCache::apply(const Change& change) try {
   const std::string& key = change.key;
-  if (has_prefix(key, "job/")) {
-    if (change.value) apply_job(key.substr(4), change);
-  } else if (has_prefix(key, "machine/")) {
-    if (change.value) apply_machine(key.substr(8), change);
-  } else if (has_prefix(key, "cancel/")) {
-    if (change.value) apply_cancellation(key.substr(7), change);
+  if (has_prefix(key, kShardPrefix) || key == leader_key) {
+    apply_lease_holder(change);
+    return true;
+  }
+  // Other keys are never deleted.
+  if (!change.value) return true;
+  if (const auto job = id_in_key(key, kJobPrefix)) {
+    apply_job(*job, change);
+  } else if (const auto machine = id_in_key(key, kMachinePrefix)) {
+    apply_machine(*machine, change);
+  } else if (const auto cancelled_job = id_in_key(key, kCancelPrefix)) {
+    apply_cancellation(*cancelled_job, change);
   } else if (key == types_key) {
-    if (change.value) apply_types(change);
+    apply_types(change);
   } else if (key == format_key) {
-    if (change.value) apply_format(change);
-  } else if (has_prefix(key, "part/") || key == leader_key) {
-    apply_lease_holder(change);
+    apply_format(change);
   }
   return true;
 } catch (const Json::exception&) {
@@ -37,10 +54,10 @@
   // The record could not be written again: the cancellation beside it is its status.
   if (fresh.record.status == JobStatus::open && cancel_revisions_.count(id))
     fresh.record.status = JobStatus::cancelled;
-  const bool known_before = cancelled(id);
+  const CancellationNews news = news_of_cancellation(id);
   const auto& slot = jobs_[id] = std::move(fresh);
   if (slot.record.status == JobStatus::cancelled)
-    note_cancelled(id, change.mod_revision, known_before);
+    confirm_cancellation({id, change.mod_revision}, news);
   const bool over = slot.record.final_state() && slot.record.placed.empty();
   finished_.erase(id);
   if (over) {
@@ -61,40 +78,17 @@
   finished_[id] = {last.mod_revision, last.record.done.size(), last.record.status};
 }
 
-uint64_t StateCache::job_mod_revision(const std::string& id) const {
-  if (const auto* live = job(id)) return live->mod_revision;
-  const auto* finished = finished_job(id);
-  return finished ? finished->mod_revision : 0;
-}
-
-void StateCache::apply_cancellation(const std::string& id, const Change& change) {
-  auto& mod_revision = cancel_revisions_[id];
-  if (change.mod_revision <= mod_revision) return;
-  mod_revision = change.mod_revision;
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end() || it->second.record.final_state()) return;
-  const bool known_before = cancelled(id);
-  it->second.record.status = JobStatus::cancelled;
-  note_cancelled(id, change.mod_revision, known_before);
-  listener_.on_job_changed(id);
-}
-
-void StateCache::note_cancelled(const std::string& id, uint64_t mod_revision, bool known_before) {
-  unconfirmed_cancellations_.erase(id);
-  if (!known_before) cancellations_.push_back({id, mod_revision});
-}
-
 void StateCache::apply_machine(const std::string& id, const Change& change) {
   if (const auto* old = machine(id); old && change.mod_revision <= old->mod_revision) return;
   Versioned<MachineRecord> fresh{machine_record_from_json(*change.value), change.mod_revision};
   const auto& stored = machines_[id] = std::move(fresh);
-  const bool gone = stored.record.phase == MachinePhase::deleted;
-  if (gone) {
+  const bool deleted = stored.record.phase == MachinePhase::deleted;
+  if (deleted) {
     present_machines_.erase(id);
   } else {
     present_machines_[id] = &stored;
   }
-  if (!gone && stored.record.terminating()) {
+  if (!deleted && stored.record.terminating()) {
     terminating_machines_[id] = &stored;
   } else {
     terminating_machines_.erase(id);
@@ -104,13 +98,13 @@
 
 void StateCache::apply_types(const Change& change) {
   if (change.mod_revision <= types_revision_) return;
-  types_ = types_from_json(change.value->at("types"));
+  types_ = types_record_from_json(*change.value);
   types_revision_ = change.mod_revision;
 }
 
 void StateCache::apply_format(const Change& change) {
   if (change.mod_revision <= format_revision_) return;
-  record_format_ = change.value->at("reads").get<uint64_t>();
+  record_format_ = record_format_from_json(*change.value);
   format_revision_ = change.mod_revision;
 }
 
@@ -123,54 +117,91 @@
   listener_.on_lease_holder_changed(change.key);
 }
 
-void StateCache::add_unconfirmed_cancellation(const Cancellation& c) {
-  const auto* known = job(c.job);
-  if (cancelled(c.job) || job_mod_revision(c.job) >= c.mod_revision) return;
-  unconfirmed_cancellations_.insert(c.job);
-  cancellations_.push_back(c);
-  if (known) listener_.on_job_changed(c.job);
+// ---- cancellations ----
+
+void StateCache::apply_cancellation(const std::string& id, const Change& change) {
+  auto& mod_revision = cancel_revisions_[id];
+  if (change.mod_revision <= mod_revision) return;
+  mod_revision = change.mod_revision;
+  const auto found = jobs_.find(id);
+  if (found == jobs_.end() || found->second.record.final_state()) return;
+  const CancellationNews news = news_of_cancellation(id);
+  found->second.record.status = JobStatus::cancelled;
+  confirm_cancellation({id, change.mod_revision}, news);
+  listener_.on_job_changed(id);
+}
+
+StateCache::CancellationNews StateCache::news_of_cancellation(const std::string& id) const {
+  return cancelled(id) ? CancellationNews::known_before : CancellationNews::first_known_now;
+}
+
+void StateCache::confirm_cancellation(const Cancellation& cancellation, CancellationNews news) {
+  unconfirmed_cancellations_.erase(cancellation.job);
+  if (news == CancellationNews::first_known_now) cancellations_.push_back(cancellation);
+}
+
+void StateCache::add_unconfirmed_cancellation(const Cancellation& cancellation) {
+  const std::string& id = cancellation.job;
+  const auto* known = job(id);
+  if (cancelled(id) || job_mod_revision(id) >= cancellation.mod_revision) return;
+  unconfirmed_cancellations_.insert(id);
+  cancellations_.push_back(cancellation);
+  if (known) listener_.on_job_changed(id);
 }
 
 bool StateCache::cancelled(const std::string& id) const {
-  if (const auto* live = job(id))
-    return live->record.status == JobStatus::cancelled || unconfirmed_cancellations_.count(id) != 0;
-  const auto* finished = finished_job(id);
-  return (finished && finished->status == JobStatus::cancelled) ||
-         unconfirmed_cancellations_.count(id) != 0;
+  if (const auto* live = job(id); live && live->record.status == JobStatus::cancelled) return true;
+  if (const auto* finished = finished_job(id); finished && finished->status == JobStatus::cancelled)
+    return true;
+  return unconfirmed_cancellations_.count(id) != 0;
 }
 
+// ---- queries ----
+
 const Versioned<JobRecord>* StateCache::job(const std::string& id) const {
   return find_in(jobs_, id);
 }
+
 const FinishedJob* StateCache::finished_job(const std::string& id) const {
   return find_in(finished_, id);
 }
+
 const Versioned<MachineRecord>* StateCache::machine(const std::string& id) const {
   return find_in(machines_, id);
 }
+
 const LeaseHolder* StateCache::lease_holder(const std::string& key) const {
   return find_in(lease_holders_, key);
 }
 
+uint64_t StateCache::job_mod_revision(const std::string& id) const {
+  if (const auto* live = job(id)) return live->mod_revision;
+  const auto* finished = finished_job(id);
+  return finished ? finished->mod_revision : 0;
+}
+
+uint64_t StateCache::cancel_mod_revision(const std::string& id) const {
+  const auto* mod_revision = find_in(cancel_revisions_, id);
+  return mod_revision ? *mod_revision : 0;
+}
+
 uint64_t StateCache::mod_revision_of(const std::string& key) const {
-  if (has_prefix(key, "job/")) return job_mod_revision(key.substr(4));
-  if (has_prefix(key, "machine/")) {
-    const auto* m = machine(key.substr(8));
-    return m ? m->mod_revision : 0;
-  }
-  if (has_prefix(key, "cancel/")) {
-    const auto* mod_revision = find_in(cancel_revisions_, key.substr(7));
-    return mod_revision ? *mod_revision : 0;
+  if (const auto job = id_in_key(key, kJobPrefix)) return job_mod_revision(*job);
+  if (const auto id = id_in_key(key, kMachinePrefix)) {
+    const auto* known = machine(*id);
+    return known ? known->mod_revision : 0;
   }
+  if (const auto cancelled_job = id_in_key(key, kCancelPrefix))
+    return cancel_mod_revision(*cancelled_job);
   if (key == types_key) return types_revision_;
   if (key == format_key) return format_revision_;
-  const auto* h = lease_holder(key);
-  return h && h->present ? h->mod_revision : 0;
+  const auto* holder = lease_holder(key);
+  return holder && holder->present ? holder->mod_revision : 0;
 }
 
 const MachineType* StateCache::type(const std::string& name) const {
-  for (const auto& t : types_)
-    if (t.name == name) return &t;
+  for (const auto& type : types_)
+    if (type.name == name) return &type;
   return nullptr;
 }
 
