--- a/src/protocol/cbor.cpp
+++ b/src/protocol/cbor.cpp
@@ -1,6 +1,6 @@
-// Reading and writing CBOR bodies.
-#include "protocol/codec.h"
-#include "protocol/fields.h"
+#include "protocol/cbor.h"
+
+#include <cmath>
 
 namespace rushtrestle::protocol {
 
@@ -18,7 +18,7 @@
   bool boolean(bool) override { return true; }
   bool number_integer(number_integer_t) override { return true; }
   bool number_unsigned(number_unsigned_t) override { return true; }
-  bool number_float(number_float_t v, const string_t&) override { return std::isfinite(v); }
+  bool number_float(number_float_t value, const string_t&) override { return std::isfinite(value); }
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return false; }
   bool start_object(size_t) override { return ++depth <= kMaxDepth; }
@@ -36,12 +36,13 @@
 // The library throws for an announced size that no memory holds, even where it is told not to
 // throw.
 std::optional<Json> read_cbor(const std::string& body) try {
-  Json j = Json::from_cbor(body, true, false);
-  if (j.is_discarded()) return std::nullopt;
-  return j;
+  Json json = Json::from_cbor(body, true, false);
+  if (json.is_discarded()) return std::nullopt;
+  return json;
 } catch (const Json::exception&) {
   return std::nullopt;
 }
+
 std::optional<Json> parse_cbor(const std::string& body) {
   Guard guard;
   if (body.empty() || !Json::sax_parse(body, &guard, Json::input_format_t::cbor))
@@ -49,9 +50,16 @@
   return read_cbor(body);
 }
 
-std::string to_cbor(const Json& j) {
+Decoded<Json> decode_cbor(const std::string& body, BodySize size) {
+  if (size == BodySize::too_large) return tl::make_unexpected(DecodeError{"", "too large"});
+  auto json = parse_cbor(body);
+  if (!json) return tl::make_unexpected(DecodeError{"", "not CBOR, nested too deep or with bytes"});
+  return std::move(*json);
+}
+
+std::string to_cbor(const Json& json) {
   std::string out;
-  Json::to_cbor(j, out);
+  Json::to_cbor(json, out);
   return out;
 }
 
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -1,58 +1,53 @@
-// The wire: CBOR bodies and paths to commands, effects to requests and answers.
+// The wire: bodies and paths to commands, effects to requests and answers. The one header of the
+// codecs that the transport includes.
+//
+// There is one codec for each neighbour: user_codec, worker_codec, peer_codec, cloud_codec and
+// state_store_codec. Each maps the neighbour's words to the standard terms, in both directions, and
+// nothing else does. This header's functions choose the codec.
+//
+// Invariant: no bytes from outside make a function here throw. A request that can't be read is
+// answered with 400; an answer that can't be read counts as an unknown outcome (status 0). What the
+// wire carries is frozen.
 #pragma once
-#include <optional>
+#include <cstddef>
 #include <string>
 #include <variant>
 
 #include "coordination/runtime/messages.h"
+#include "protocol/cbor.h"
+#include "protocol/decode_error.h"
+#include "protocol/http_answer.h"
+#include "protocol/http_call.h"
+#include "protocol/task_name.h"
 
 namespace rushtrestle::protocol {
 
+/// Largest body of a request from a user or a worker, in bytes.
 constexpr size_t kBodyLimit = size_t{64} * 1024;
 
-/// Refuses what is not CBOR, is nested too deep or holds byte strings.
-std::optional<store::Json> parse_cbor(const std::string& body);
-std::string to_cbor(const store::Json& j);
-
-/// "job-000412": `job-` and letters or digits.
-bool valid_job_id(const std::string& id);
-bool parse_task_name(const std::string& text, std::string& job, uint32_t& task);
-
-std::optional<store::JobSpec> decode_job(const store::Json& j);
-std::optional<coordination::Heartbeat> decode_heartbeat(const store::Json& j);
-
-struct HttpAnswer {
-  int status = 500;
-  std::string body, headers;
-  const char* content_type = "application/cbor";
-};
-/// A request from a user or a worker: a command, or an answer at once.
-std::variant<coordination::Command, HttpAnswer> decode_request(coordination::RequestId id,
-                                                               const std::string& method,
-                                                               const std::string& target,
-                                                               const std::string& body,
-                                                               bool too_large);
-std::variant<coordination::Command, HttpAnswer> decode_peer_request(coordination::RequestId id,
-                                                                    const std::string& method,
-                                                                    const std::string& target,
-                                                                    const std::string& body);
-
-HttpAnswer encode(const coordination::AnswerUser& a);
-HttpAnswer encode(const coordination::AnswerHeartbeat& a);
-HttpAnswer encode(const coordination::AnswerForwardedHeartbeat& a);
-HttpAnswer encode(const coordination::AnswerPeer& a);
-HttpAnswer encode(const coordination::AnswerStats& a);
-
-enum class Service { state, cloud, worker, peer };
-struct HttpCall {
-  Service service;
-  std::string address;  // of a worker or a peer
-  std::string method, target, body;
-  const char* content_type = "application/cbor";
-};
+/// A request as a command, or the answer to it at once.
+using DecodedRequest = std::variant<coordination::Command, HttpAnswer>;
+
+/// A job that a user submits.
+Decoded<store::JobSpec> decode_job(const store::Json& json);
+/// A worker's heartbeat: a request of its own, or the answer to commands.
+Decoded<coordination::Heartbeat> decode_heartbeat(const store::Json& json);
+
+/// A request from a user or a worker. `too_large`: the body was over kBodyLimit and is not whole.
+DecodedRequest decode_request(coordination::RequestId id, const std::string& method,
+                              const std::string& target, const std::string& body, bool too_large);
+/// A request from another controller.
+DecodedRequest decode_peer_request(coordination::RequestId id, const std::string& method,
+                                   const std::string& target, const std::string& body);
+
+HttpAnswer encode(const coordination::AnswerUser& answer);
+HttpAnswer encode(const coordination::AnswerHeartbeat& answer);
+HttpAnswer encode(const coordination::AnswerForwardedHeartbeat& answer);
+HttpAnswer encode(const coordination::AnswerPeer& answer);
+HttpAnswer encode(const coordination::AnswerStats& answer);
+
 HttpCall encode(const coordination::Call& call);
-/// What `decode_reply` needs to know of the call it answers.
-using ReplyKind = size_t;  // index of the alternative in CallBody
+/// The answer to a call. `key`: of a ReadKey. `status`: of HTTP; 0: no answer.
 coordination::CallDone decode_reply(coordination::CallId id, ReplyKind kind, const std::string& key,
                                     int status, const std::string& body);
 
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -1,5 +1,10 @@
-// What controllers say to each other, as JSON.
-#include "protocol/codec_internal.h"
+#include "protocol/peer_codec.h"
+
+#include <utility>
+#include <vector>
+
+#include "protocol/codec.h"
+#include "protocol/fields.h"
 
 namespace rushtrestle::protocol {
 
@@ -8,152 +13,266 @@
 
 namespace {
 
-CancellationPosition cancellation_position_from_json(const Json& j) {
-  const Fields f(j);
-  return {f.text("incarnation", true), f.count("upto")};
+constexpr const char* kStatePath = "/peer";
+constexpr const char* kForwardPath = "/relay";
+constexpr const char* kJsonType = "application/json";
+
+// A controller's state.
+constexpr const char* kNode = "node";
+constexpr const char* kIncarnation = "incarnation";
+constexpr const char* kHasStateStore = "has_state";
+constexpr const char* kSynced = "synced";
+constexpr const char* kBacklog = "backlog";
+constexpr const char* kShards = "parts";
+constexpr const char* kMachinesHeard = "heard";
+constexpr const char* kNodes = "nodes";
+constexpr const char* kAt = "at";
+constexpr const char* kRevision = "revision";
+constexpr const char* kVersion = "version";
+constexpr const char* kRecordFormat = "record_format";
+constexpr const char* kBudgetNeed = "need";
+constexpr const char* kCurrentAgeS = "current_age";
+constexpr const char* kAcknowledged = "has";
+constexpr const char* kOfferedCancellations = "handover";
+
+// The exchange of cancellations.
+constexpr const char* kCount = "upto";
+constexpr const char* kFrom = "from";
+constexpr const char* kWhole = "whole";
+constexpr const char* kCancelled = "cancelled";
+
+// A forwarded heartbeat and the response to it.
+constexpr const char* kMachine = "machine";
+constexpr const char* kAddress = "address";
+constexpr const char* kType = "type";
+constexpr const char* kZone = "zone";
+constexpr const char* kSpot = "spot";
+constexpr const char* kAgentEpoch = "session";
+constexpr const char* kSequence = "seq";
+constexpr const char* kFencingToken = "token";
+constexpr const char* kTasks = "tasks";
+constexpr const char* kNoticeS = "notice";
+constexpr const char* kStatus = "status";
+constexpr const char* kCommands = "commands";
+constexpr const char* kRedirect = "redirect";
+
+std::string dump(const Json& body) {
+  return body.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-CancellationOffer cancellation_offer_from_json(const Json& j) {
-  const Fields f(j);
-  CancellationOffer h{cancellation_position_from_json(j), f.count("from"), f.flag("whole"), {}};
-  for (const auto& c : f.list("cancelled")) {
-    h.cancellations.push_back({c.at(0).get<std::string>(), c.at(1).get<uint64_t>()});
-    if (!valid_job_id(h.cancellations.back().job)) throw Invalid{};
-  }
-  if (h.from > h.mark.count || h.cancellations.size() > h.mark.count - h.from) throw Invalid{};
-  return h;
+// ---- the exchange of cancellations ----
+
+Json position_json(const CancellationPosition& position) {
+  return {{kIncarnation, position.incarnation}, {kCount, position.count}};
 }
 
-HttpAnswer peer_answer(const Json& body) {
-  return {200, body.dump(-1, ' ', false, Json::error_handler_t::replace), "", "application/json"};
+CancellationPosition position_from_json(const Json& json) {
+  const Fields fields(json);
+  return {fields.text(kIncarnation, EmptyText::allowed), fields.count(kCount)};
 }
 
-}  // namespace
+Json offer_json(const CancellationOffer& offer) {
+  Json cancelled = Json::array();
+  for (const auto& cancellation : offer.cancellations)
+    cancelled.push_back({cancellation.job, cancellation.mod_revision});
+  Json json = position_json(offer.mark);
+  json[kFrom] = offer.from;
+  json[kWhole] = offer.whole;
+  json[kCancelled] = std::move(cancelled);
+  return json;
+}
 
-Json peer_json(const PeerState& s) {
-  Json j = {{"node", s.node},
-            {"incarnation", s.incarnation},
-            {"has_state", s.has_state_store},
-            {"synced", s.synced},
-            {"backlog", s.backlog},
-            {"parts", s.shards},
-            {"heard", s.machines_heard},
-            {"nodes", s.nodes},
-            {"at", s.at},
-            {"revision", s.revision},
-            {"version", s.version},
-            {"record_format", s.record_format}};
-  if (s.budget_need) j["need"] = *s.budget_need;
-  if (s.current_age_s) j["current_age"] = *s.current_age_s;
-  if (s.acknowledged)
-    j["has"] = {{"incarnation", s.acknowledged->incarnation}, {"upto", s.acknowledged->count}};
-  if (s.offered_cancellations) {
-    Json cancelled = Json::array();
-    for (const auto& c : s.offered_cancellations->cancellations)
-      cancelled.push_back({c.job, c.mod_revision});
-    j["handover"] = {{"incarnation", s.offered_cancellations->mark.incarnation},
-                     {"from", s.offered_cancellations->from},
-                     {"upto", s.offered_cancellations->mark.count},
-                     {"whole", s.offered_cancellations->whole},
-                     {"cancelled", std::move(cancelled)}};
+CancellationOffer offer_from_json(const Json& json) {
+  const Fields fields(json);
+  CancellationOffer offer{position_from_json(json), fields.count(kFrom), fields.flag(kWhole), {}};
+  for (const auto& cancellation : fields.list(kCancelled)) {
+    offer.cancellations.push_back(
+        {cancellation.at(0).get<std::string>(), cancellation.at(1).get<uint64_t>()});
+    if (!valid_job_id(offer.cancellations.back().job)) fail(kCancelled, "not a job's id");
   }
-  return j;
-}
-
-PeerState peer_from_json(const Json& j) {
-  PeerState s;
-  s.node = j.at("node").get<std::string>();
-  s.incarnation = j.at("incarnation").get<std::string>();
-  s.has_state_store = j.at("has_state").get<bool>();
-  s.synced = j.at("synced").get<bool>();
-  s.backlog = j.at("backlog").get<double>();
-  s.shards = j.at("parts").get<std::vector<int>>();
-  s.machines_heard = j.at("heard").get<std::vector<std::string>>();
-  s.nodes = j.at("nodes").get<std::vector<std::string>>();
-  s.at = j.at("at").get<double>();
-  const Fields f(j);
-  if (f.find("revision")) s.revision = f.count("revision");
-  if (f.find("version")) s.version = f.text("version", true);
-  if (f.find("record_format")) s.record_format = f.count("record_format");
-  if (f.find("need")) s.budget_need = f.amount("need");
-  if (f.find("current_age")) s.current_age_s = f.amount("current_age");
-  if (j.contains("has")) s.acknowledged = cancellation_position_from_json(j["has"]);
-  if (j.contains("handover")) s.offered_cancellations = cancellation_offer_from_json(j["handover"]);
-  return s;
-}
-
-Json heartbeat_json(const Heartbeat& r) {
+  if (offer.from > offer.mark.count) fail(kFrom, "beyond the end");
+  if (offer.cancellations.size() > offer.mark.count - offer.from)
+    fail(kCancelled, "more than there are");
+  return offer;
+}
+
+// ---- a controller's state ----
+
+Json peer_state_json(const PeerState& state) {
+  Json json = {{kNode, state.node},
+               {kIncarnation, state.incarnation},
+               {kHasStateStore, state.has_state_store},
+               {kSynced, state.synced},
+               {kBacklog, state.backlog},
+               {kShards, state.shards},
+               {kMachinesHeard, state.machines_heard},
+               {kNodes, state.nodes},
+               {kAt, state.at},
+               {kRevision, state.revision},
+               {kVersion, state.version},
+               {kRecordFormat, state.record_format}};
+  if (state.budget_need) json[kBudgetNeed] = *state.budget_need;
+  if (state.current_age_s) json[kCurrentAgeS] = *state.current_age_s;
+  if (state.acknowledged) json[kAcknowledged] = position_json(*state.acknowledged);
+  if (state.offered_cancellations)
+    json[kOfferedCancellations] = offer_json(*state.offered_cancellations);
+  return json;
+}
+
+PeerState peer_state_from_json(const Json& json) {
+  const Fields fields(json);
+  PeerState state;
+  state.node = fields.get<std::string>(kNode);
+  state.incarnation = fields.get<std::string>(kIncarnation);
+  state.has_state_store = fields.get<bool>(kHasStateStore);
+  state.synced = fields.get<bool>(kSynced);
+  state.backlog = fields.get<double>(kBacklog);
+  state.shards = fields.get<std::vector<int>>(kShards);
+  state.machines_heard = fields.get<std::vector<std::string>>(kMachinesHeard);
+  state.nodes = fields.get<std::vector<std::string>>(kNodes);
+  state.at = fields.get<double>(kAt);
+  // Earlier versions don't send the rest.
+  if (fields.find(kRevision)) state.revision = fields.count(kRevision);
+  if (fields.find(kVersion)) state.version = fields.text(kVersion, EmptyText::allowed);
+  if (fields.find(kRecordFormat)) state.record_format = fields.count(kRecordFormat);
+  if (fields.find(kBudgetNeed)) state.budget_need = fields.amount(kBudgetNeed);
+  if (fields.find(kCurrentAgeS)) state.current_age_s = fields.amount(kCurrentAgeS);
+  if (json.contains(kAcknowledged)) state.acknowledged = position_from_json(json[kAcknowledged]);
+  if (json.contains(kOfferedCancellations))
+    state.offered_cancellations = offer_from_json(json[kOfferedCancellations]);
+  return state;
+}
+
+// ---- forwarded heartbeats ----
+
+// A task is a list: job, task, attempt, state, cause, saved.
+Json reported_task_json(const ReportedTask& task) {
+  return Json::array({task.job, task.task, task.attempt, static_cast<int>(task.state),
+                      static_cast<int>(task.cause), task.saved});
+}
+
+ReportedTask reported_task_from_json(const Json& json) {
+  return {json.at(0).get<std::string>(),
+          json.at(1).get<uint32_t>(),
+          json.at(2).get<uint64_t>(),
+          static_cast<TaskState>(json.at(3).get<int>()),
+          static_cast<ExitCause>(json.at(4).get<int>()),
+          json.at(5).get<bool>(),
+          false};
+}
+
+Json heartbeat_json(const Heartbeat& heartbeat) {
   Json tasks = Json::array();
-  for (const auto& t : r.tasks)
-    tasks.push_back(
-        {t.job, t.task, t.attempt, static_cast<int>(t.state), static_cast<int>(t.cause), t.saved});
-  Json j = {{"machine", r.machine}, {"address", r.address},     {"type", r.type},
-            {"zone", r.zone},       {"spot", r.spot},           {"session", r.agent_epoch},
-            {"seq", r.sequence},    {"token", r.fencing_token}, {"tasks", std::move(tasks)}};
-  if (r.notice_s) j["notice"] = *r.notice_s;
-  return j;
-}
-
-Heartbeat heartbeat_from_json(const Json& j) {
-  Heartbeat r;
-  r.machine = j.at("machine").get<std::string>();
-  r.address = j.at("address").get<std::string>();
-  r.type = j.at("type").get<std::string>();
-  r.zone = j.at("zone").get<std::string>();
-  r.spot = j.at("spot").get<bool>();
-  r.agent_epoch = j.at("session").get<uint64_t>();
-  r.sequence = j.at("seq").get<uint64_t>();
-  r.fencing_token = j.at("token").get<uint64_t>();
-  if (j.contains("notice")) r.notice_s = j["notice"].get<double>();
-  for (const auto& t : j.at("tasks"))
-    r.tasks.push_back({t.at(0).get<std::string>(), t.at(1).get<uint32_t>(), t.at(2).get<uint64_t>(),
-                       static_cast<TaskState>(t.at(3).get<int>()),
-                       static_cast<ExitCause>(t.at(4).get<int>()), t.at(5).get<bool>(), false});
-  return r;
-}
-
-Json heartbeat_response_json(const HeartbeatResponse& r) {
+  for (const auto& task : heartbeat.tasks) tasks.push_back(reported_task_json(task));
+  Json json = {{kMachine, heartbeat.machine},   {kAddress, heartbeat.address},
+               {kType, heartbeat.type},         {kZone, heartbeat.zone},
+               {kSpot, heartbeat.spot},         {kAgentEpoch, heartbeat.agent_epoch},
+               {kSequence, heartbeat.sequence}, {kFencingToken, heartbeat.fencing_token},
+               {kTasks, std::move(tasks)}};
+  if (heartbeat.notice_s) json[kNoticeS] = *heartbeat.notice_s;
+  return json;
+}
+
+Heartbeat heartbeat_from_json(const Json& json) {
+  const Fields fields(json);
+  Heartbeat heartbeat;
+  heartbeat.machine = fields.get<std::string>(kMachine);
+  heartbeat.address = fields.get<std::string>(kAddress);
+  heartbeat.type = fields.get<std::string>(kType);
+  heartbeat.zone = fields.get<std::string>(kZone);
+  heartbeat.spot = fields.get<bool>(kSpot);
+  heartbeat.agent_epoch = fields.get<uint64_t>(kAgentEpoch);
+  heartbeat.sequence = fields.get<uint64_t>(kSequence);
+  heartbeat.fencing_token = fields.get<uint64_t>(kFencingToken);
+  if (json.contains(kNoticeS)) heartbeat.notice_s = fields.get<double>(kNoticeS);
+  for (const auto& task : json.at(kTasks)) heartbeat.tasks.push_back(reported_task_from_json(task));
+  return heartbeat;
+}
+
+// A command is a list: verb, job, task, attempt, grace.
+Json command_json(const WorkerCommand& command) {
+  return Json::array({static_cast<int>(command.verb), command.job, command.task, command.attempt,
+                      command.grace_s});
+}
+
+WorkerCommand command_from_json(const Json& json) {
+  return {static_cast<WorkerVerb>(json.at(0).get<int>()), json.at(1).get<std::string>(),
+          json.at(2).get<uint32_t>(), json.at(3).get<uint64_t>(), json.at(4).get<double>()};
+}
+
+Json heartbeat_response_json(const HeartbeatResponse& response) {
   Json commands = Json::array();
-  for (const auto& c : r.commands)
-    commands.push_back({static_cast<int>(c.verb), c.job, c.task, c.attempt, c.grace_s});
-  return {{"status", r.status},
-          {"token", r.fencing_token},
-          {"commands", std::move(commands)},
-          {"redirect", r.redirect}};
-}
-
-HeartbeatResponse heartbeat_response_from_json(const Json& j) {
-  HeartbeatResponse r{j.at("status").get<int>(),
-                      j.at("token").get<uint64_t>(),
-                      {},
-                      j.at("redirect").get<std::string>()};
-  for (const auto& c : j.at("commands"))
-    r.commands.push_back({static_cast<WorkerVerb>(c.at(0).get<int>()), c.at(1).get<std::string>(),
-                          c.at(2).get<uint32_t>(), c.at(3).get<uint64_t>(), c.at(4).get<double>()});
-  return r;
-}
-
-std::variant<Command, HttpAnswer> decode_peer_request(RequestId id, const std::string& method,
-                                                      const std::string& target,
-                                                      const std::string& body) {
-  if (target != "/peer" && target != "/relay") return refusal(404, "no such path");
+  for (const auto& command : response.commands) commands.push_back(command_json(command));
+  return {{kStatus, response.status},
+          {kFencingToken, response.fencing_token},
+          {kCommands, std::move(commands)},
+          {kRedirect, response.redirect}};
+}
+
+HeartbeatResponse heartbeat_response_from_json(const Json& json) {
+  const Fields fields(json);
+  HeartbeatResponse response{fields.get<int>(kStatus),
+                             fields.get<uint64_t>(kFencingToken),
+                             {},
+                             fields.get<std::string>(kRedirect)};
+  for (const auto& command : json.at(kCommands))
+    response.commands.push_back(command_from_json(command));
+  return response;
+}
+
+// ---- bodies ----
+
+/// Reads a JSON body by `read`.
+template <class Read>
+auto decode_json(const std::string& body, Read&& read) {
+  return guarded([&] {
+    const Json json = Json::parse(body, nullptr, false);
+    if (json.is_discarded()) fail("", "not JSON");
+    return read(json);
+  });
+}
+
+HttpCall post(const std::string& address, const char* target, const Json& body) {
+  return {Service::peer, address, "POST", target, dump(body), kJsonType};
+}
+
+HttpAnswer peer_answer(const Json& body) { return {200, dump(body), "", kJsonType}; }
+
+}  // namespace
+
+HttpCall encode_call(const SendPeerState& send) {
+  return post(send.address, kStatePath, peer_state_json(send.state));
+}
+
+HttpCall encode_call(const ForwardHeartbeat& forward) {
+  return post(forward.address, kForwardPath, heartbeat_json(forward.heartbeat));
+}
+
+Decoded<Reply> decode_peer_reply(ReplyKind kind, const std::string& body) {
+  return decode_json(body, [&](const Json& json) -> Reply {
+    if (kind == kKindOf<SendPeerState>) return peer_state_from_json(json);
+    return heartbeat_response_from_json(json);
+  });
+}
+
+DecodedRequest decode_peer_request(RequestId id, const std::string& method,
+                                   const std::string& target, const std::string& body) {
+  if (target != kStatePath && target != kForwardPath) return refusal(404, "no such path");
   if (method != "POST") return wrong_method("POST");
-  const Json j = Json::parse(body, nullptr, false);
-  if (target == "/relay") {
-    auto heartbeat =
-        j.is_discarded() ? std::nullopt : guarded([&] { return heartbeat_from_json(j); });
+  if (target == kForwardPath) {
+    auto heartbeat = decode_json(body, heartbeat_from_json);
     if (!heartbeat) return refusal(400, "malformed");
     return Command{HandleForwardedHeartbeat{id, std::move(*heartbeat)}};
   }
-  auto state = j.is_discarded() ? std::nullopt : guarded([&] { return peer_from_json(j); });
+  auto state = decode_json(body, peer_state_from_json);
   if (!state) return refusal(400, "malformed");
   return Command{HandlePeerState{id, std::move(*state)}};
 }
 
-HttpAnswer encode(const AnswerForwardedHeartbeat& a) {
-  return peer_answer(heartbeat_response_json(a.reply));
+HttpAnswer encode(const AnswerForwardedHeartbeat& answer) {
+  return peer_answer(heartbeat_response_json(answer.reply));
 }
 
-HttpAnswer encode(const AnswerPeer& a) { return peer_answer(peer_json(a.state)); }
+HttpAnswer encode(const AnswerPeer& answer) { return peer_answer(peer_state_json(answer.state)); }
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -1,8 +1,13 @@
-// Requests of users and workers on the users' address, and the answers to them.
+#include "protocol/user_codec.h"
+
 #include <algorithm>
 #include <cmath>
+#include <iterator>
+#include <optional>
+#include <utility>
+#include <vector>
 
-#include "protocol/codec_internal.h"
+#include "protocol/fields.h"
 
 namespace rushtrestle::protocol {
 
@@ -12,140 +17,136 @@
 namespace {
 
 constexpr uint32_t kMaxTasks = 100000;
+constexpr size_t kMaxTypes = 64;
 
-}  // namespace
+constexpr int kOk = 200;
+constexpr int kNotFound = 404;
+constexpr int kCanNeverRun = 422;
+constexpr int kTooMany = 429;
+constexpr int kUnavailable = 503;
 
-HttpAnswer cbor_answer(int status, const Json& body, std::string headers) {
-  return {status, to_cbor(body), std::move(headers), "application/cbor"};
+store::JobKind job_kind(const Fields& fields) {
+  const std::string word = fields.text("sort");
+  if (word == "array") return store::JobKind::array;
+  if (word == "daemon") return store::JobKind::service;
+  // `group` stands in the platform's word list, though not on its protocol page:
+  // tasks that run together (docs/questions.md).
+  if (word == "group") return store::JobKind::gang;
+  fail("sort", "no such kind of job");
 }
 
-HttpAnswer refusal(int status, const char* why) { return cbor_answer(status, {{"error", why}}); }
-
-HttpAnswer wrong_method(const char* allowed) {
-  auto a = refusal(405, "method not allowed");
-  a.headers = std::string("Allow: ") + allowed + "\r\n";
-  return a;
+store::Rank rank_of(const Fields& fields) {
+  static constexpr const char* kRanks[] = {"idle", "normal", "urgent", "prod"};
+  const std::string word = fields.text("rank");
+  const auto* rank = std::find(std::begin(kRanks), std::end(kRanks), word);
+  if (rank == std::end(kRanks)) fail("rank", "no such rank");
+  return static_cast<store::Rank>(rank - std::begin(kRanks));
 }
 
-std::optional<store::JobSpec> decode_job(const Json& j) {
-  return guarded([&] {
-    const Fields f(j);
-    store::JobSpec s;
-    s.id = f.text("id");
-    if (!valid_job_id(s.id)) throw Invalid{};
-    s.job_class = f.text("berth");
-    s.team = f.text("crew");
-    const std::string kind = f.text("sort"), rank = f.text("rank");
-    // `group` stands in the platform's word list, though not on its protocol page:
-    // tasks that run together (docs/questions.md).
-    if (kind != "array" && kind != "daemon" && kind != "group") throw Invalid{};
-    s.kind = kind == "array"    ? store::JobKind::array
-             : kind == "daemon" ? store::JobKind::service
-                                : store::JobKind::gang;
-    static constexpr const char* kRanks[] = {"idle", "normal", "urgent", "prod"};
-    const auto* r = std::find(std::begin(kRanks), std::end(kRanks), rank);
-    if (r == std::end(kRanks)) throw Invalid{};
-    s.rank = static_cast<store::Rank>(r - std::begin(kRanks));
-    const uint64_t tasks = f.count("chores");
-    if (tasks == 0 || tasks > kMaxTasks) throw Invalid{};
-    s.tasks = static_cast<uint32_t>(tasks);
-    s.per_task = {f.amount("cores"), f.amount_or("cards", 0), f.amount("memoryGb")};
-    if (f.find("breeds")) {
-      s.types.emplace();
-      for (const auto& t : f.list("breeds")) {
-        if (!t.is_string() || t.get_ref<const std::string&>().size() > kMaxText) throw Invalid{};
-        s.types->push_back(t.get<std::string>());
-      }
-      constexpr size_t kMostTypes = 64;
-      if (s.types->size() > kMostTypes) throw Invalid{};
-    }
-    if (f.find("yard")) s.zone = f.text("yard");
-    s.one_zone = f.flag_or("oneZone", false);
-    s.spread = f.flag_or("scatter", false);
-    s.spot = f.flag_or("loaners", false);
-    s.image = f.text("bundle");
-    s.image_gb = f.amount("imageGb");
-    s.estimate_s = f.amount_or("guessS", 0);
-    s.checkpoint_s = f.amount_or("snapshotS", 0);
-    s.save_s = f.amount_or("stowS", 0);
-    if (f.find("dueS")) s.deadline_s = f.amount("dueS");
-    return s;
-  });
+uint32_t task_count(const Fields& fields) {
+  const uint64_t tasks = fields.count("chores");
+  if (tasks == 0 || tasks > kMaxTasks) fail("chores", "none or too many");
+  return static_cast<uint32_t>(tasks);
 }
 
-std::variant<Command, HttpAnswer> decode_request(RequestId id, const std::string& method,
-                                                 const std::string& target, const std::string& body,
-                                                 bool too_large) {
-  const std::string path = target.substr(0, target.find('?'));
-  static const std::string jobs = "/v1/jobs", abort_suffix = "/abort";
-  if (path == "/checkin") {
-    if (method != "POST") return wrong_method("POST");
-    const auto j = too_large ? std::nullopt : parse_cbor(body);
-    auto heartbeat = j ? decode_heartbeat(*j) : std::nullopt;
-    if (!heartbeat) return refusal(400, "malformed report");
-    return Command{HandleHeartbeat{id, std::move(*heartbeat)}};
-  }
-  if (path == jobs) {
-    if (method != "POST") return wrong_method("POST");
-    const auto j = too_large ? std::nullopt : parse_cbor(body);
-    auto spec = j ? decode_job(*j) : std::nullopt;
-    if (!spec) return refusal(400, "malformed job");
-    return Command{SubmitJob{id, std::move(*spec)}};
-  }
-  if (path.compare(0, jobs.size() + 1, jobs + "/") == 0) {
-    std::string job = path.substr(jobs.size() + 1);
-    const bool abort =
-        job.size() > abort_suffix.size() &&
-        job.compare(job.size() - abort_suffix.size(), abort_suffix.size(), abort_suffix) == 0;
-    if (abort) job.resize(job.size() - abort_suffix.size());
-    if (!valid_job_id(job)) return refusal(404, "no such job");
-    if (method != (abort ? "POST" : "GET")) return wrong_method(abort ? "POST" : "GET");
-    if (abort) return Command{CancelJob{id, std::move(job)}};
-    return Command{QueryJob{id, std::move(job)}};
-  }
-  if (path == "/up" || path == "/stats") {
-    if (method != "GET") return wrong_method("GET");
-    if (path == "/up") return Command{CheckHealth{id}};
-    return Command{ShowStats{id}};
+std::optional<std::vector<std::string>> machine_types(const Fields& fields) {
+  constexpr const char* kTypes = "breeds";
+  if (!fields.find(kTypes)) return std::nullopt;
+  std::vector<std::string> types;
+  for (const auto& type : fields.list(kTypes)) {
+    if (!type.is_string()) fail(kTypes, "not a list of texts");
+    if (type.get_ref<const std::string&>().size() > kMaxText) fail(kTypes, "too long a name");
+    types.push_back(type.get<std::string>());
   }
-  return refusal(404, "no such path");
+  if (types.size() > kMaxTypes) fail(kTypes, "too many");
+  return types;
 }
 
-HttpAnswer encode(const AnswerUser& a) {
-  std::string headers;
-  // Whole seconds, rounded up: an earlier retry would find nothing changed.
-  if (a.status == 503 || a.status == 429)
-    headers = "Retry-After: " +
-              std::to_string(std::max(1, static_cast<int>(std::ceil(a.retry_after_s)))) + "\r\n";
-  if (!a.job) {
-    if (a.status == 200) return {200, "", headers, "application/cbor"};
-    return cbor_answer(a.status,
-                       {{"error", a.status == 404   ? "no such job"
-                                  : a.status == 422 ? "can never run"
-                                                    : "not now"}},
-                       headers);
-  }
-  const auto& v = *a.job;
-  const char* status = v.status == store::JobStatus::done        ? "done"
-                       : v.status == store::JobStatus::cancelled ? "withdrawn"
-                       : v.running > 0                           ? "running"
-                                                                 : "queued";
-  return cbor_answer(a.status,
-                     {{"id", v.id}, {"status", status}, {"done", v.done}, {"running", v.running}},
-                     headers);
+store::JobSpec job_from_user(const Json& json) {
+  const Fields fields(json);
+  store::JobSpec spec;
+  spec.id = fields.text("id");
+  if (!valid_job_id(spec.id)) fail("id", "not a job's id");
+  spec.job_class = fields.text("berth");
+  spec.team = fields.text("crew");
+  spec.kind = job_kind(fields);
+  spec.rank = rank_of(fields);
+  spec.tasks = task_count(fields);
+  spec.per_task = {fields.amount("cores"), fields.amount_or("cards", 0), fields.amount("memoryGb")};
+  spec.types = machine_types(fields);
+  if (fields.find("yard")) spec.zone = fields.text("yard");
+  spec.one_zone = fields.flag_or("oneZone", false);
+  spec.spread = fields.flag_or("scatter", false);
+  spec.spot = fields.flag_or("loaners", false);
+  spec.image = fields.text("bundle");
+  spec.image_gb = fields.amount("imageGb");
+  spec.estimate_s = fields.amount_or("guessS", 0);
+  spec.checkpoint_s = fields.amount_or("snapshotS", 0);
+  spec.save_s = fields.amount_or("stowS", 0);
+  if (fields.find("dueS")) spec.deadline_s = fields.amount("dueS");
+  return spec;
+}
+
+const char* status_word(const JobView& job) {
+  if (job.status == store::JobStatus::done) return "done";
+  if (job.status == store::JobStatus::cancelled) return "withdrawn";
+  return job.running > 0 ? "running" : "queued";
+}
+
+const char* error_word(int status) {
+  if (status == kNotFound) return "no such job";
+  return status == kCanNeverRun ? "can never run" : "not now";
 }
 
-HttpAnswer encode(const AnswerHeartbeat& a) {
-  const auto& r = a.reply;
-  if (r.status == 200)
-    return cbor_answer(200, {{"baton", r.fencing_token}, {"orders", commands_json(r.commands)}});
-  Json body = Json::object();
-  if (r.status == 421 && !r.redirect.empty()) body["foreman"] = r.redirect;
-  return cbor_answer(r.status, body, r.status == 503 ? "Retry-After: 1\r\n" : "");
+/// Whole seconds, rounded up: an earlier retry would find nothing changed.
+std::string retry_header(const AnswerUser& answer) {
+  if (answer.status != kUnavailable && answer.status != kTooMany) return "";
+  const int seconds = std::max(1, static_cast<int>(std::ceil(answer.retry_after_s)));
+  return "Retry-After: " + std::to_string(seconds) + "\r\n";
+}
+
+}  // namespace
+
+Decoded<store::JobSpec> decode_job(const Json& json) {
+  return guarded([&] { return job_from_user(json); });
+}
+
+DecodedRequest decode_submission(RequestId id, const std::string& method, const std::string& body,
+                                 BodySize size) {
+  if (method != "POST") return wrong_method("POST");
+  auto spec = decode_cbor(body, size).and_then(decode_job);
+  if (!spec) return refusal(400, "malformed job");
+  return Command{SubmitJob{id, std::move(*spec)}};
+}
+
+DecodedRequest decode_job_request(RequestId id, const std::string& method, std::string path) {
+  static const std::string cancel_suffix = "/abort";
+  const bool cancels =
+      path.size() > cancel_suffix.size() &&
+      path.compare(path.size() - cancel_suffix.size(), cancel_suffix.size(), cancel_suffix) == 0;
+  if (cancels) path.resize(path.size() - cancel_suffix.size());
+  if (!valid_job_id(path)) return refusal(kNotFound, "no such job");
+  const char* allowed = cancels ? "POST" : "GET";
+  if (method != allowed) return wrong_method(allowed);
+  if (cancels) return Command{CancelJob{id, std::move(path)}};
+  return Command{QueryJob{id, std::move(path)}};
+}
+
+HttpAnswer encode(const AnswerUser& answer) {
+  const std::string headers = retry_header(answer);
+  if (!answer.job) {
+    if (answer.status == kOk) return {kOk, "", headers, "application/cbor"};
+    return cbor_answer(answer.status, {{"error", error_word(answer.status)}}, headers);
+  }
+  const auto& job = *answer.job;
+  return cbor_answer(
+      answer.status,
+      {{"id", job.id}, {"status", status_word(job)}, {"done", job.done}, {"running", job.running}},
+      headers);
 }
 
-HttpAnswer encode(const AnswerStats& a) {
-  return {200, a.body.dump(2, ' ', false, Json::error_handler_t::replace) + "\n", "",
+HttpAnswer encode(const AnswerStats& answer) {
+  return {200, answer.body.dump(2, ' ', false, Json::error_handler_t::replace) + "\n", "",
           "application/json"};
 }
 
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -1,8 +1,10 @@
-// Workers' reports, and the commands sent to workers.
-#include <algorithm>
-#include <charconv>
+#include "protocol/worker_codec.h"
 
-#include "protocol/codec_internal.h"
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "protocol/fields.h"
 
 namespace rushtrestle::protocol {
 
@@ -11,90 +13,120 @@
 
 namespace {
 
-TaskState task_state(const std::string& s) {
-  if (s == "pulling" || s == "gathering") return TaskState::fetching;  // not running yet
-  if (s == "running") return TaskState::running;
-  if (s == "saving") return TaskState::saving;
-  if (s == "ended") return TaskState::exited;
-  throw Invalid{};
+// The workers' words that stand in several messages.
+constexpr const char* kFencingToken = "baton";
+constexpr const char* kAgentEpoch = "shift";
+constexpr const char* kCommands = "orders";
+constexpr const char* kTask = "chore";
+constexpr const char* kAttempt = "try";
+
+constexpr int kOk = 200;
+constexpr int kMisdirected = 421;
+constexpr int kUnavailable = 503;
+
+constexpr const char* kGathering = "gathering";
+
+std::optional<TaskState> task_state(const std::string& word) {
+  if (word == "pulling" || word == kGathering) return TaskState::fetching;  // not running yet
+  if (word == "running") return TaskState::running;
+  if (word == "saving") return TaskState::saving;
+  if (word == "ended") return TaskState::exited;
+  return std::nullopt;
 }
 
-ExitCause exit_cause(const std::string& s) {
-  if (s == "done") return ExitCause::done;
-  if (s == "stopped") return ExitCause::stopped;
-  if (s == "full") return ExitCause::no_room;
-  if (s == "in_use") return ExitCause::busy;
-  if (s == "no_such") return ExitCause::unknown;
+ExitCause exit_cause(const std::string& word) {
+  if (word == "done") return ExitCause::done;
+  if (word == "stopped") return ExitCause::stopped;
+  if (word == "full") return ExitCause::no_room;
+  if (word == "in_use") return ExitCause::busy;
+  if (word == "no_such") return ExitCause::unknown;
   // A gang's task that ended because of its peers did not fail by itself.
-  if (s == "peers" || s == "incomplete") return ExitCause::stopped;
+  if (word == "peers" || word == "incomplete") return ExitCause::stopped;
   return ExitCause::error;  // `error`, and any cause that a later version may bring
 }
 
-std::string task_name(const std::string& job, uint32_t task) {
-  return job + "/" + std::to_string(task);
+ReportedTask reported_task_from_json(const Json& json) {
+  const Fields fields(json);
+  ReportedTask task;
+  if (!parse_task_name(fields.text(kTask), task.job, task.task)) fail(kTask, "not a task's name");
+  task.attempt = fields.count(kAttempt);
+  const std::string status = fields.text("status");
+  const auto state = task_state(status);
+  if (!state) fail("status", "no such state");
+  task.state = *state;
+  task.gathering = status == kGathering;
+  if (task.state == TaskState::exited) task.cause = exit_cause(fields.text("cause"));
+  task.saved = fields.flag_or("kept", false);
+  return task;
 }
 
-}  // namespace
+Heartbeat heartbeat_from_worker(const Json& json) {
+  const Fields fields(json);
+  Heartbeat heartbeat;
+  heartbeat.machine = fields.text("rig");
+  heartbeat.address = fields.text("addr");
+  heartbeat.type = fields.text("breed");
+  heartbeat.zone = fields.text("yard");
+  heartbeat.spot = fields.flag_or("loaners", false);
+  heartbeat.agent_epoch = fields.count(kAgentEpoch);
+  heartbeat.sequence = fields.count("tally");
+  heartbeat.fencing_token = fields.count(kFencingToken);
+  if (fields.find("warningS")) heartbeat.notice_s = fields.amount("warningS");
+  for (const auto& task : fields.list("chores"))
+    heartbeat.tasks.push_back(reported_task_from_json(task));
+  return heartbeat;
+}
+
+Json command_json(const WorkerCommand& command) {
+  Json json = {{kTask, task_name(command.job, command.task)}, {kAttempt, command.attempt}};
+  switch (command.verb) {
+    case WorkerVerb::start: json["verb"] = "run"; break;
+    case WorkerVerb::forget: json["verb"] = "forget"; break;
+    case WorkerVerb::stop:
+      json["verb"] = "kill";
+      json["leewayS"] = command.grace_s;
+      break;
+  }
+  return json;
+}
 
 Json commands_json(const std::vector<WorkerCommand>& commands) {
   Json list = Json::array();
-  for (const auto& c : commands) {
-    Json j = {{"chore", task_name(c.job, c.task)}, {"try", c.attempt}};
-    switch (c.verb) {
-      case WorkerVerb::start: j["verb"] = "run"; break;
-      case WorkerVerb::forget: j["verb"] = "forget"; break;
-      case WorkerVerb::stop:
-        j["verb"] = "kill";
-        j["leewayS"] = c.grace_s;
-        break;
-    }
-    list.push_back(std::move(j));
-  }
+  for (const auto& command : commands) list.push_back(command_json(command));
   return list;
 }
 
-bool valid_job_id(const std::string& id) {
-  constexpr size_t kLongest = 64;
-  return id.size() > 4 && id.size() <= kLongest && id.compare(0, 4, "job-") == 0 &&
-         std::all_of(id.begin() + 4, id.end(), [](unsigned char c) { return std::isalnum(c); });
+}  // namespace
+
+Decoded<Heartbeat> decode_heartbeat(const Json& json) {
+  return guarded([&] { return heartbeat_from_worker(json); });
+}
+
+DecodedRequest decode_worker_request(RequestId id, const std::string& method,
+                                     const std::string& body, BodySize size) {
+  if (method != "POST") return wrong_method("POST");
+  auto heartbeat = decode_cbor(body, size).and_then(decode_heartbeat);
+  if (!heartbeat) return refusal(400, "malformed report");
+  return Command{HandleHeartbeat{id, std::move(*heartbeat)}};
 }
 
-bool parse_task_name(const std::string& text, std::string& job, uint32_t& task) {
-  const auto slash = text.rfind('/');
-  if (slash == std::string::npos) return false;
-  job = text.substr(0, slash);
-  const char* end = text.data() + text.size();
-  const auto [p, ec] = std::from_chars(text.data() + slash + 1, end, task);
-  return ec == std::errc{} && p == end && valid_job_id(job);
+HttpAnswer encode(const AnswerHeartbeat& answer) {
+  const auto& response = answer.reply;
+  if (response.status == kOk)
+    return cbor_answer(kOk, {{kFencingToken, response.fencing_token},
+                             {kCommands, commands_json(response.commands)}});
+  Json body = Json::object();
+  if (response.status == kMisdirected && !response.redirect.empty())
+    body["foreman"] = response.redirect;
+  return cbor_answer(response.status, body,
+                     response.status == kUnavailable ? "Retry-After: 1\r\n" : "");
 }
 
-std::optional<Heartbeat> decode_heartbeat(const Json& j) {
-  return guarded([&] {
-    const Fields f(j);
-    Heartbeat r;
-    r.machine = f.text("rig");
-    r.address = f.text("addr");
-    r.type = f.text("breed");
-    r.zone = f.text("yard");
-    r.spot = f.flag_or("loaners", false);
-    r.agent_epoch = f.count("shift");
-    r.sequence = f.count("tally");
-    r.fencing_token = f.count("baton");
-    if (f.find("warningS")) r.notice_s = f.amount("warningS");
-    for (const auto& t : f.list("chores")) {
-      const Fields tf(t);
-      ReportedTask task;
-      if (!parse_task_name(tf.text("chore"), task.job, task.task)) throw Invalid{};
-      task.attempt = tf.count("try");
-      const std::string status = tf.text("status");
-      task.state = task_state(status);
-      task.gathering = status == "gathering";
-      if (task.state == TaskState::exited) task.cause = exit_cause(tf.text("cause"));
-      task.saved = tf.flag_or("kept", false);
-      r.tasks.push_back(std::move(task));
-    }
-    return r;
-  });
+HttpCall encode_call(const PushCommands& push) {
+  return {Service::worker, push.address, "POST", "/commands",
+          to_cbor({{kFencingToken, push.fencing_token},
+                   {kAgentEpoch, push.agent_epoch},
+                   {kCommands, commands_json(push.commands)}})};
 }
 
 }  // namespace rushtrestle::protocol
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -58,6 +58,65 @@
   EXPECT_EQ(status_of("POST", "/v1/jobs", to_cbor(nan)), 400);
 }
 
+// The wire says no more than that a job is malformed; the codec says which field is at fault.
+TEST(Codec, AnInvalidFieldIsNamedWithItsReason) {
+  struct Case {
+    const char* field;
+    Json value;
+    const char* reason;
+  };
+  const std::vector<Case> cases = {{"id", "job-a/b", "not a job's id"},
+                                   {"id", 7, "not a text"},
+                                   {"berth", std::string(300, 'x'), "too long"},
+                                   {"bundle", "", "empty"},
+                                   {"crew", nullptr, "missing"},
+                                   {"sort", "cron", "no such kind of job"},
+                                   {"rank", "highest", "no such rank"},
+                                   {"chores", 0u, "none or too many"},
+                                   {"chores", -1, "not a whole number from 0"},
+                                   {"cores", "8", "not a number"},
+                                   {"cards", 1e12, "out of range"},
+                                   {"breeds", "g8", "not a list"},
+                                   {"breeds", Json::array({1}), "not a list of texts"},
+                                   {"oneZone", 1, "not a truth value"}};
+  for (const auto& [field, value, reason] : cases) {
+    Json job = valid_job();
+    job[field] = value;
+    const auto decoded = decode_job(*parse_cbor(to_cbor(job)));
+    ASSERT_FALSE(decoded) << field << " = " << value;
+    EXPECT_EQ(decoded.error().field, field);
+    EXPECT_EQ(decoded.error().reason, reason) << field << " = " << value;
+  }
+  const auto no_map = decode_job(Json::array({1}));
+  ASSERT_FALSE(no_map);
+  EXPECT_EQ(no_map.error().field, "");
+  EXPECT_EQ(no_map.error().reason, "not a map");
+}
+
+TEST(Codec, AnInvalidFieldOfAHeartbeatIsNamedWithItsReason) {
+  const Json heartbeat = {
+      {"rig", "n-000001"}, {"addr", "a:1"}, {"breed", "g8"}, {"yard", "a"},
+      {"shift", 1u},       {"tally", 1u},   {"baton", 1u},   {"chores", Json::array()}};
+  const auto error_with = [&](const char* field, const Json& value) {
+    Json changed = heartbeat;
+    changed[field] = value;
+    const auto decoded = decode_heartbeat(changed);
+    return decoded ? DecodeError{"none", "none"} : decoded.error();
+  };
+  EXPECT_EQ(error_with("baton", "41").field, "baton");
+  EXPECT_EQ(error_with("baton", "41").reason, "not a whole number from 0");
+  const auto task_with = [](const char* name, const char* status) {
+    return Json::array({{{"chore", name}, {"try", 1u}, {"status", status}}});
+  };
+  EXPECT_EQ(error_with("chores", task_with("job-1", "running")).field, "chore");
+  EXPECT_EQ(error_with("chores", task_with("job-1", "running")).reason, "not a task's name");
+  EXPECT_EQ(error_with("chores", task_with("job-1/0", "gathered")).field, "status");
+  EXPECT_EQ(error_with("chores", task_with("job-1/0", "gathered")).reason, "no such state");
+  EXPECT_EQ(error_with("chores", task_with("job-1/0", "ended")).field, "cause");
+  EXPECT_EQ(error_with("chores", task_with("job-1/0", "ended")).reason, "missing");
+  EXPECT_EQ(error_with("chores", task_with("job-1/0", "running")).field, "none") << "it is valid";
+}
+
 TEST(Codec, RefusesWhatIsNotAPlainCborMap) {
   EXPECT_EQ(status_of("POST", "/v1/jobs", ""), 400);
   EXPECT_EQ(status_of("POST", "/v1/jobs", "{\"id\":1}"), 400);
