--- a/src/protocol/operator_settings.cpp
+++ b/src/protocol/operator_settings.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-const char* rank_name(store::Rank r) {
+const char* rank_name(store::Rank rank) {
   static constexpr const char* kNames[] = {"low", "normal", "high", "production"};
-  return kNames[static_cast<int>(r)];
+  return kNames[static_cast<int>(rank)];
 }
 
 /// The reader gives no line numbers, so each top-level form is cut out and parsed by itself.
@@ -25,28 +25,31 @@
 
 std::vector<Form> split_forms(const std::string& text) {
   std::vector<Form> forms;
-  int line = 1, depth = 0, start_line = 1;
+  int line = 1;
+  int depth = 0;
+  int start_line = 1;
   std::string current;
-  bool comment = false, quoted = false;
-  for (const char c : text) {
+  bool comment = false;
+  bool quoted = false;
+  for (const char character : text) {
     if (comment) {
-      if (c != '\n') continue;
+      if (character != '\n') continue;
       comment = false;
     }
-    if (c == '"') quoted = !quoted;
-    if (c == ';' && !quoted) {
+    if (character == '"') quoted = !quoted;
+    if (character == ';' && !quoted) {
       comment = true;
       continue;
     }
-    if (depth == 0 && c != '(' && !std::isspace(static_cast<unsigned char>(c)))
+    if (depth == 0 && character != '(' && !std::isspace(static_cast<unsigned char>(character)))
       throw SettingsError("line " + std::to_string(line) + ": expected a form in parentheses");
-    if (c == '(' && !quoted && depth++ == 0) start_line = line;
-    if (depth > 0) current += c == '\n' ? ' ' : c;
-    if (c == ')' && !quoted && depth > 0 && --depth == 0) {
+    if (character == '(' && !quoted && depth++ == 0) start_line = line;
+    if (depth > 0) current += character == '\n' ? ' ' : character;
+    if (character == ')' && !quoted && depth > 0 && --depth == 0) {
       forms.push_back({std::move(current), start_line});
       current.clear();
     }
-    if (c == '\n') ++line;
+    if (character == '\n') ++line;
   }
   if (depth != 0)
     throw SettingsError("line " + std::to_string(start_line) + ": form is not closed");
@@ -67,21 +70,21 @@
     arguments_ = tree_->list->next;
   }
 
-  void apply(store::OperatorSettings& s) const {
+  void apply(store::OperatorSettings& settings) const {
     if (name_ == "requeue-delay") {
-      s.requeue_delay_s = one_positive();
+      settings.requeue_delay_s = one_positive();
     } else if (name_ == "scan-period") {
-      s.scan_period_s = one_positive();
+      settings.scan_period_s = one_positive();
     } else if (name_ == "share-period") {
-      s.share_period_s = one_positive();
+      settings.share_period_s = one_positive();
     } else if (name_ == "reclaim-guarantee") {
-      s.reclaim_guarantee = on_or_off();
+      settings.reclaim_guarantee = on_or_off();
     } else if (name_ == "consolidate") {
-      s.consolidate = on_or_off();
+      settings.consolidate = on_or_off();
     } else if (name_ == "preemptible") {
-      s.preemptible = ranks();
+      settings.preemptible = ranks();
     } else if (name_ == "team-share") {
-      s.team_shares.push_back(team_share());
+      settings.team_shares.push_back(team_share());
     } else {
       throw fault("unknown setting '" + name_ + "'");
     }
@@ -93,42 +96,42 @@
   }
 
   double number(const sexp_t* at) const {
-    double v = 0;
+    double value = 0;
     if (!at || at->ty != SEXP_VALUE) throw fault(name_ + ": a number is missing");
     const char* end = at->val + std::char_traits<char>::length(at->val);
-    const auto [p, ec] = std::from_chars(at->val, end, v);
-    if (ec != std::errc{} || p != end || !std::isfinite(v))
+    const auto [stopped_at, error] = std::from_chars(at->val, end, value);
+    if (error != std::errc{} || stopped_at != end || !std::isfinite(value))
       throw fault(name_ + ": '" + at->val + "' is no number");
-    return v;
+    return value;
   }
 
   double one_positive() const {
-    const double v = number(arguments_);
-    if (v <= 0) throw fault(name_ + ": must be above 0");
+    const double value = number(arguments_);
+    if (value <= 0) throw fault(name_ + ": must be above 0");
     if (arguments_->next) throw fault(name_ + ": takes one number");
-    return v;
+    return value;
   }
 
   bool on_or_off() const {
-    const std::string v =
+    const std::string word =
         arguments_ && arguments_->ty == SEXP_VALUE && !arguments_->next ? arguments_->val : "";
-    if (v != "on" && v != "off") throw fault(name_ + ": takes on or off");
-    return v == "on";
+    if (word != "on" && word != "off") throw fault(name_ + ": takes on or off");
+    return word == "on";
   }
 
   std::vector<store::Rank> ranks() const {
-    std::vector<store::Rank> out;
-    for (const sexp_t* a = arguments_; a; a = a->next) {
+    std::vector<store::Rank> ranks;
+    for (const sexp_t* argument = arguments_; argument; argument = argument->next) {
       bool known = false;
-      for (const auto r :
+      for (const auto rank :
            {store::Rank::low, store::Rank::normal, store::Rank::high, store::Rank::production})
-        if (a->ty == SEXP_VALUE && std::string(rank_name(r)) == a->val) {
-          out.push_back(r);
+        if (argument->ty == SEXP_VALUE && std::string(rank_name(rank)) == argument->val) {
+          ranks.push_back(rank);
           known = true;
         }
       if (!known) throw fault("preemptible: ranks are low, normal, high and production");
     }
-    return out;
+    return ranks;
   }
 
   std::pair<std::string, double> team_share() const {
@@ -136,7 +139,7 @@
       throw fault("team-share: a team's name is missing");
     const std::string team = arguments_->val;
     if (std::none_of(platform_.teams.begin(), platform_.teams.end(),
-                     [&](const auto& t) { return t.name == team; }))
+                     [&](const auto& known) { return known.name == team; }))
       throw fault("team-share: no team '" + team + "'");
     const double share = number(arguments_->next);
     if (share <= 0 || arguments_->next->next)
@@ -156,17 +159,17 @@
 
 store::OperatorSettings parse_operator_settings(const std::string& text,
                                                 const store::Settings& platform) {
-  store::OperatorSettings s;
-  for (const auto& form : split_forms(text)) Setting(form, platform).apply(s);
-  return s;
+  store::OperatorSettings settings;
+  for (const auto& form : split_forms(text)) Setting(form, platform).apply(settings);
+  return settings;
 }
 
 store::OperatorSettings read_operator_settings(const std::string& path,
                                                const store::Settings& platform) {
   try {
     return parse_operator_settings(read_file(path), platform);
-  } catch (const SettingsError& e) {
-    const std::string why = e.what();
+  } catch (const SettingsError& error) {
+    const std::string why = error.what();
     throw SettingsError(why.rfind(path, 0) == 0 ? why : path + ": " + why);
   }
 }
