--- a/src/coordination/fleet/capacity_planner.cpp
+++ b/src/coordination/fleet/capacity_planner.cpp
@@ -21,22 +21,6 @@
 
 }  // namespace
 
-bool can_move(const store::JobSpec& spec) {
-  return spec.kind == JobKind::service || spec.checkpoint_s > 0;
-}
-
-bool overdue(const MachineRecord& machine, const store::StateCache& state_cache,
-             const std::set<std::string>* up, double wall) {
-  const auto* type = state_cache.type(machine.type);
-  const bool came_up = !machine.address.empty() || (up && up->count(machine.id) != 0);
-  return type && !came_up && wall - machine.since > type->boot_s * Tunables::kBootUsual;
-}
-
-bool CapacityPlanner::preemptible(const store::JobSpec& spec) const {
-  const auto& ranks = context_.operators.preemptible;
-  return std::find(ranks.begin(), ranks.end(), spec.rank) != ranks.end();
-}
-
 const store::TeamSettings& CapacityPlanner::team_settings(const std::string& team) const {
   static const store::TeamSettings none;
   const auto* known = context_.team(team);
@@ -65,8 +49,9 @@
       if (a->spec.rank != b->spec.rank) return a->spec.rank > b->spec.rank;
       return a->submitted < b->submitted;
     });
-  production_waits_ = std::any_of(waiting_.begin(), waiting_.end(),
-                                  [&](const auto* r) { return !preemptible(r->spec); });
+  production_waits_ = std::any_of(waiting_.begin(), waiting_.end(), [&](const auto* r) {
+    return !is_preemptible(r->spec, context_);
+  });
   if (logging_ && without.empty()) log_part();
   auto forecasts = arrival_forecast_.expected(shard_);
   // A machine is emptied only where twice the usual spare room stays for work that can't use spot
@@ -106,7 +91,7 @@
       auto& counts = placed_tasks_[r.spec.job_class];
       ++(m && m->record.spot ? counts.spot : counts.ordinary);
       used_[p.machine].add(r.spec.per_task);
-      if (!preemptible(r.spec)) pinned_.insert(p.machine);
+      if (!is_preemptible(r.spec, context_)) pinned_.insert(p.machine);
       team_used_[r.spec.team].add(r.spec.per_task);
     }
     const bool guest = context_.is_best_effort(r.spec.team);
@@ -135,9 +120,9 @@
   slots_.reset(fit_.cpu_per_gpu);
   for (const auto& [id, m] : state_cache_.present_machines())
     if (m->record.shard == shard_ && m->record.usable() && !without_->count(id) &&
-        !overdue(m->record, state_cache_, outlook_.up, context_.wall))
+        !boot_overdue(m->record, state_cache_, outlook_.running, context_.wall))
       add_slot(m->record);
-  for (const auto& m : outlook_.rented)
+  for (const auto& m : outlook_.unrecorded)
     if (m.shard == shard_ && !state_cache_.machine(m.id)) add_slot(m);
   if (const auto requested = outlook_.requested.find(shard_); requested != outlook_.requested.end())
     for (const auto& kind : requested->second)
@@ -248,16 +233,16 @@
   const size_t changes_before = slots_.changes();
   const auto slots_of_before = slots_of_;
   const auto team_before = team_used_[request.spec.team];
-  const auto wants_before = plan.wants;
-  const auto guest_wants_before = plan.guest_wants;
+  const auto shortages_before = plan.shortages;
+  const auto best_effort_before = plan.best_effort_shortages;
   for (uint32_t i = 0; i < tasks; ++i) {
     if (put(request, zones, plan)) continue;
     slots_.undo_to(changes_before);
     slots_of_ = slots_of_before;
     team_used_[request.spec.team] = team_before;
     failures_.clear();  // room that they found taken is free again
-    plan.wants = wants_before;
-    plan.guest_wants = guest_wants_before;
+    plan.shortages = shortages_before;
+    plan.best_effort_shortages = best_effort_before;
     return false;
   }
   return true;
@@ -380,12 +365,13 @@
   if (zone == type->zones.end()) return false;
   slots_.add({"", type, &*zone, kind.spot, type->size, true});
   ++slots_of_[{type->name, kind.zone}];
-  auto& wants = context_.is_best_effort(request.spec.team) ? plan.guest_wants : plan.wants;
-  auto want = std::find_if(wants.begin(), wants.end(), [&](const MachineWant& w) {
+  auto& wants =
+      context_.is_best_effort(request.spec.team) ? plan.best_effort_shortages : plan.shortages;
+  auto want = std::find_if(wants.begin(), wants.end(), [&](const MachineShortage& w) {
     return w.shard == shard_ && w.kind == kind;
   });
-  if (want == wants.end()) want = wants.insert(wants.end(), MachineWant{shard_, kind});
-  ++(request.urgent ? want->urgent : want->spare);
+  if (want == wants.end()) want = wants.insert(wants.end(), MachineShortage{shard_, kind});
+  ++(request.urgent ? want->urgent : want->expected);
   if (request.urgent) want->rank = std::max(want->rank, request.spec.rank);
   return true;
 }
--- a/src/coordination/fleet/capacity_planner.h
+++ b/src/coordination/fleet/capacity_planner.h
@@ -7,62 +7,12 @@
 #include <string>
 #include <vector>
 
+#include "coordination/fleet/capacity_plan.h"
 #include "coordination/scheduling/arrival_forecast.h"
 #include "coordination/scheduling/slot_index.h"
 
 namespace rushtrestle::coordination {
 
-/// One kind of machine that the cloud rents.
-struct MachineKind {
-  std::string type;
-  std::string zone;
-  bool spot = false;
-  auto operator<=>(const MachineKind&) const =
-      default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 reads a 0 here
-};
-
-/// Machines of one kind that a shard lacks.
-struct MachineWant {
-  int shard = 0;
-  MachineKind kind;
-  int urgent = 0;                       // for work that waits
-  int spare = 0;                        // for work that is expected
-  store::Rank rank = store::Rank::low;  // of the most important work that waits for them
-};
-
-/// Work within its team's guarantee for which there is neither room nor anything to rent.
-struct UnmetDemand {
-  int shard = 0;
-  store::JobSpec spec;
-  ZoneCounts zones;
-};
-
-/// The plans of one or more parts.
-struct CapacityPlan {
-  std::vector<MachineWant> wants;
-  std::vector<MachineWant>
-      guest_wants;                  // for teams without a guarantee: no reason to keep a machine
-  std::vector<std::string> unused;  // machines
-  std::vector<UnmetDemand> unmet;
-};
-
-/// What the cluster leader knows of the cloud that is not in the state cache.
-struct CloudOutlook {
-  std::vector<store::MachineType> prices;             // current ones
-  std::set<MachineKind> unavailable;                  // not to be had at present
-  std::vector<store::MachineRecord> rented;           // whose records are not durable yet
-  std::map<int, std::vector<MachineKind>> requested;  // by shard: asked for, without an answer
-  const std::set<std::string>* up = nullptr;          // machines that the cloud lists as running
-};
-
-/// May a task of this job be stopped without loss of work?
-bool can_move(const store::JobSpec& spec);
-
-/// A machine that should have come up by now: it may never do so, and does not count as capacity.
-/// Its record may get its address late, so what the cloud says counts, too (`up`).
-bool overdue(const store::MachineRecord& machine, const store::StateCache& state_cache,
-             const std::set<std::string>* up, double wall);
-
 class CapacityPlanner {
  public:
   CapacityPlanner(Context& context, const store::StateCache& state_cache,
@@ -127,7 +77,6 @@
   const store::MachineType* cheapest(const Request& request, const ZoneCounts& zones,
                                      bool with_gpus, MachineKind& kind);
   const store::TeamSettings& team_settings(const std::string& team) const;
-  bool preemptible(const store::JobSpec& spec) const;
   void log_part() const;
   double missing_tasks(const store::JobRecord& job) const;
 
--- a/src/coordination/fleet/consolidator.cpp
+++ b/src/coordination/fleet/consolidator.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "coordination/fleet/capacity_planner.h"
 #include "coordination/scheduling/best_effort.h"
 
 namespace rushtrestle::coordination {
@@ -24,8 +25,8 @@
 
 int machines_wanted(const CapacityPlan& plan, int shard) {
   int n = 0;
-  for (const auto& w : plan.wants)
-    if (w.shard == shard) n += w.urgent + w.spare;
+  for (const auto& w : plan.shortages)
+    if (w.shard == shard) n += w.machines();
   return n;
 }
 
@@ -97,8 +98,8 @@
     const auto* type = m ? state_cache_.type(m->record.type) : nullptr;
     if (!type || !load.movable || !m->record.usable() || m->record.shard != shard) continue;
     const MachineKind kind{m->record.type, m->record.zone, m->record.spot};
-    if (std::any_of(planned.wants.begin(), planned.wants.end(),
-                    [&](const MachineWant& w) { return w.kind == kind; }))
+    if (std::any_of(planned.shortages.begin(), planned.shortages.end(),
+                    [&](const MachineShortage& w) { return w.kind == kind; }))
       continue;
     const double share = std::max(type->size.cpus > 0 ? load.used.cpus / type->size.cpus : 0,
                                   type->size.gpus > 0 ? load.used.gpus / type->size.gpus : 0);
--- a/src/coordination/fleet/consolidator.h
+++ b/src/coordination/fleet/consolidator.h
@@ -6,10 +6,14 @@
 #include <string>
 #include <vector>
 
-#include "coordination/fleet/capacity_planner.h"
+#include "coordination/fleet/capacity_plan.h"
+#include "coordination/membership/membership.h"
+#include "coordination/scheduling/arrival_forecast.h"
 
 namespace rushtrestle::coordination {
 
+class CapacityPlanner;
+
 // Services leave holes that nothing fills: the machine that pays least for itself is emptied, if
 // what it holds, what waits and what is expected all fit on the others. A replica is away for the
 // fraction of a second that its stop and start take; so only replicas that have run for a while are
--- /dev/null
+++ b/src/coordination/fleet/machine_deletion.h
@@ -0,0 +1,51 @@
+// Deletes terminating machines at the cloud and records each as deleted. Invariant: a machine is
+// asked for until the cloud has confirmed its deletion, and again if the record could not be
+// written. Run by the cluster leader.
+#pragma once
+#include <functional>
+#include <set>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "coordination/fleet/machine_record_writer.h"
+
+namespace rushtrestle::coordination {
+
+class MachineDeletion {
+ public:
+  /// The arguments must outlive this object. `on_deleted` is called with a machine's id when the
+  /// cloud has confirmed its deletion, before its record changes.
+  MachineDeletion(Context& context, const store::StateCache& state_cache,
+                  MachineRecordWriter& records, TokenBucket& cloud_budget,
+                  std::function<void(const std::string& machine)> on_deleted)
+      : context_(context),
+        state_cache_(state_cache),
+        records_(records),
+        cloud_budget_(cloud_budget),
+        on_deleted_(std::move(on_deleted)) {}
+
+  /// At the start of a leadership: no deletion is confirmed.
+  void reset();
+  /// Sends a deletion request if one is due and the cloud's budget allows.
+  void tick();
+  /// Steady time at which terminating machines are looked for; none while a request is under way.
+  double next_due() const { return request_in_flight_ ? kNoDueTime : next_request_; }
+
+ private:
+  std::vector<std::string> machines_to_delete() const;
+  void delete_terminating();
+  void on_answer(const CallDone& done, const std::vector<std::string>& machines);
+  void record_deleted(const std::string& machine);
+
+  Context& context_;
+  const store::StateCache& state_cache_;
+  MachineRecordWriter& records_;
+  TokenBucket& cloud_budget_;
+  std::function<void(const std::string& machine)> on_deleted_;
+  double next_request_ = 0;
+  bool request_in_flight_ = false;
+  std::set<std::string> confirmed_;  // by the cloud
+};
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/fleet/machine_record_writer.cpp
@@ -0,0 +1,26 @@
+#include "coordination/fleet/machine_record_writer.h"
+
+#include <utility>
+
+namespace rushtrestle::coordination {
+
+void MachineRecordWriter::update(const std::string& machine, WriteCause cause, Change change,
+                                 Done done) {
+  WriteRequest write;
+  write.key = store::machine_key(machine);
+  write.cause = cause;
+  write.prepare = [this, machine, change = std::move(change)](Prepared& prepared) {
+    const auto* known = state_cache_.machine(machine);
+    if (!known || !membership_.leading()) return false;
+    store::MachineRecord record = known->record;
+    if (!change(record)) return false;
+    prepared.expected = known->mod_revision;
+    prepared.value = to_json(record);
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
+    return true;
+  };
+  write.done = std::move(done);
+  state_store_.write(std::move(write));
+}
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/fleet/provisioner.cpp
@@ -0,0 +1,186 @@
+#include "coordination/fleet/provisioner.h"
+
+#include <algorithm>
+#include <utility>
+#include <variant>
+
+#include "coordination/fleet/unused_machines.h"
+
+namespace rushtrestle::coordination {
+
+using store::MachineRecord;
+
+namespace {
+
+constexpr size_t kMostMachines = 50;  // of one request, by the protocol
+constexpr int kTooManyRequests = 429;
+constexpr int kNoAnswer = 0;
+
+}  // namespace
+
+void Provisioner::reset() {
+  requests_.clear();
+  unavailable_kinds_.clear();
+}
+
+void Provisioner::tick() {
+  for (auto& request : requests_)
+    if (!request.in_flight && context_.now >= request.next_try && cloud_budget_.ready(context_.now))
+      send(request);
+}
+
+double Provisioner::next_due() const {
+  double due = kNoDueTime;
+  for (const auto& request : requests_)
+    if (!request.in_flight) due = std::min(due, request.next_try);
+  return due;
+}
+
+bool Provisioner::request_in_flight() const {
+  return std::any_of(requests_.begin(), requests_.end(),
+                     [](const Request& request) { return request.in_flight; });
+}
+
+bool Provisioner::has_request(const MachineKind& kind) const {
+  return std::any_of(requests_.begin(), requests_.end(),
+                     [&](const Request& request) { return request.kind == kind; });
+}
+
+void Provisioner::describe(CloudOutlook& outlook) const {
+  for (const auto& [kind, unavailability] : unavailable_kinds_)
+    if (context_.now < unavailability.until) outlook.unavailable.insert(kind);
+  for (const auto& request : requests_)
+    for (const int shard : request.shards) outlook.requested[shard].push_back(request.kind);
+}
+
+// One machine each in turn.
+Provisioner::Order Provisioner::deal_in_turns(const MachineKind& kind,
+                                              const std::vector<MachineShortage*>& shortages) {
+  Order order{kind, store::Rank::low, {}, {}};
+  for (bool more = true; more;) {
+    more = false;
+    for (MachineShortage* shortage : shortages) {
+      if (shortage->machines() == 0) continue;
+      if (shortage->urgent > 0) {
+        order.urgent.push_back(shortage->shard);
+        order.rank = std::max(order.rank, shortage->rank);
+      } else {
+        order.expected.push_back(shortage->shard);
+      }
+      shortage->reduce();
+      more |= shortage->machines() > 0;
+    }
+  }
+  return order;
+}
+
+std::vector<Provisioner::Order> Provisioner::orders_for(std::vector<MachineShortage> shortages,
+                                                        std::vector<std::string> unused) const {
+  UnusedMachines shared(std::move(unused), state_cache_);
+  std::map<MachineKind, std::vector<MachineShortage*>> by_kind;
+  for (auto& shortage : shortages) {
+    // Machines that another shard does not need are shared, not provisioned anew; each counts once.
+    while (shortage.machines() > 0 && shared.take(shortage.kind, shortage.shard)) shortage.reduce();
+    if (shortage.machines() > 0) by_kind[shortage.kind].push_back(&shortage);
+  }
+  std::vector<Order> orders;
+  for (const auto& [kind, of_kind] : by_kind)
+    if (!has_request(kind)) orders.push_back(deal_in_turns(kind, of_kind));
+  std::stable_sort(orders.begin(), orders.end(), [](const Order& a, const Order& b) {
+    if (a.urgent.empty() != b.urgent.empty()) return b.urgent.empty();
+    if (a.rank != b.rank) return a.rank > b.rank;
+    return a.urgent.size() > b.urgent.size();
+  });
+  return orders;
+}
+
+// The cloud takes few calls. Queued by shard and machine, requests waited for minutes behind others
+// for kinds that the cloud had refused long since, and what was queued counted as capacity on its
+// way. So nothing is queued: each plan asks anew, once a kind of machine for all shards together,
+// and what the budget does not let out now is part of the next plan.
+void Provisioner::provision(std::vector<MachineShortage> shortages,
+                            std::vector<std::string> unused) {
+  place_orders(orders_for(std::move(shortages), std::move(unused)));
+}
+
+// One request a plan and kind, of fifty machines, kept the budget of calls idle while thousands
+// were lacking. Each kind has its first before another has its second.
+void Provisioner::place_orders(const std::vector<Order>& orders) {
+  for (size_t from = 0, longest = 1; from < longest; from += kMostMachines)
+    for (const auto& order : orders) {
+      std::vector<int> shards = order.urgent;
+      shards.insert(shards.end(), order.expected.begin(), order.expected.end());
+      longest = std::max(longest, shards.size());
+      if (from >= shards.size()) continue;
+      if (!cloud_budget_.ready(context_.now)) return;
+      const auto first = shards.begin() + static_cast<long>(from);
+      const auto last =
+          shards.begin() + static_cast<long>(std::min(shards.size(), from + kMostMachines));
+      requests_.push_back(
+          {order.kind, std::vector<int>(first, last),
+           std::to_string(membership_.leader_revision()) + "-" + std::to_string(++requests_made_),
+           0, false});
+      send(requests_.back());
+    }
+}
+
+void Provisioner::send(Request& request) {
+  request.in_flight = true;
+  cloud_budget_.take(1);
+  context_.call(ProvisionMachines{request.name, request.kind.type, request.kind.zone,
+                                  request.kind.spot, static_cast<int>(request.shards.size())},
+                context_.settings.lease_s / 3,
+                [this, name = request.name](CallDone&& done) { on_answer(done, name); });
+}
+
+void Provisioner::on_answer(const CallDone& done, const std::string& request_name) {
+  const auto request =
+      std::find_if(requests_.begin(), requests_.end(),
+                   [&](const Request& candidate) { return candidate.name == request_name; });
+  // Another controller has led since: its listing brings the machines.
+  if (request == requests_.end()) return;
+  request->in_flight = false;
+  const auto* reply = std::get_if<ProvisionReply>(&done.reply);
+  if (done.status == 200 && reply) {
+    on_provisioned(*request, reply->machines);
+    requests_.erase(request);
+  } else if (done.status == kNoAnswer || done.status == kTooManyRequests) {
+    // Repeated as the same request: it is carried out at most once.
+    request->next_try = context_.now + context_.jitter(context_.settings.heartbeat_interval_s / 2);
+  } else {
+    on_kind_unavailable(request->kind);
+    requests_.erase(request);
+  }
+}
+
+void Provisioner::on_provisioned(const Request& request, const std::vector<std::string>& machines) {
+  context_.info("machines_provisioned count=" + std::to_string(machines.size()) + " requested=" +
+                std::to_string(request.shards.size()) + " type=" + request.kind.type +
+                " zone=" + request.kind.zone + " spot=" + (request.kind.spot ? "true" : "false"));
+  for (size_t i = 0; i < machines.size() && i < request.shards.size(); ++i) {
+    MachineRecord record;
+    record.id = machines[i];
+    record.type = request.kind.type;
+    record.zone = request.kind.zone;
+    record.spot = request.kind.spot;
+    record.shard = request.shards[i];
+    record.since = context_.wall;
+    unrecorded_.record(record);
+  }
+  if (machines.size() < request.shards.size()) {
+    on_kind_unavailable(request.kind);
+  } else {
+    unavailable_kinds_.erase(request.kind);
+  }
+}
+
+// What is free at the cloud changes seldom but by our own deletions: asked for ever more rarely, so
+// that refusals don't eat the budget of calls.
+void Provisioner::on_kind_unavailable(const MachineKind& kind) {
+  auto& unavailability = unavailable_kinds_[kind];
+  unavailability.pause_s = std::clamp(unavailability.pause_s * 2, context_.settings.lease_s / 2,
+                                      context_.settings.lease_s * 4);
+  unavailability.until = context_.now + context_.jitter(unavailability.pause_s);
+}
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/fleet/unrecorded_machines.cpp
@@ -0,0 +1,26 @@
+#include "coordination/fleet/unrecorded_machines.h"
+
+#include <utility>
+
+namespace rushtrestle::coordination {
+
+void UnrecordedMachines::record(const store::MachineRecord& machine) {
+  records_[machine.id] = machine;
+  WriteRequest write;
+  write.key = store::machine_key(machine.id);
+  write.cause = WriteCause::machine_rented;
+  write.prepare = [this, id = machine.id](Prepared& prepared) {
+    const auto unrecorded = records_.find(id);
+    if (unrecorded == records_.end() || state_cache_.machine(id) || !membership_.leading())
+      return false;
+    prepared.expected = 0;
+    prepared.value = to_json(unrecorded->second);
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
+    return true;
+  };
+  // If the write failed, the next listing of the cloud's machines brings the machine again.
+  write.done = [this, id = machine.id](WriteOutcome, uint64_t) { records_.erase(id); };
+  state_store_.write(std::move(write));
+}
+
+}  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/unused_machines.h
+++ b/src/coordination/fleet/unused_machines.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/fleet/capacity_planner.h"
+#include "coordination/fleet/capacity_plan.h"
 
 namespace rushtrestle::coordination {
 
