--- a/src/coordination/fleet/cloud_inventory.cpp
+++ b/src/coordination/fleet/cloud_inventory.cpp
@@ -44,7 +44,7 @@
 }
 
 void CloudInventory::compare_with_records(const std::vector<CloudMachine>& machines) {
-  AdoptionShares shares(context_, state_cache_, membership_, unrecorded_.records());
+  AdoptionShares shares(context_, state_cache_, membership_, unrecorded_);
   // While an answer is under way to us, a machine without a record may be one that it names.
   const bool answer_under_way = provisioner_.request_in_flight();
   for (const auto& machine : machines) {
--- a/src/coordination/fleet/consolidation_rounds.h
+++ b/src/coordination/fleet/consolidation_rounds.h
@@ -6,6 +6,7 @@
 
 #include "coordination/fleet/consolidator.h"
 #include "coordination/fleet/machine_reassignment.h"
+#include "coordination/scheduling/arrival_forecast.h"
 
 namespace rushtrestle::coordination {
 
--- a/src/coordination/fleet/consolidator.h
+++ b/src/coordination/fleet/consolidator.h
@@ -1,4 +1,6 @@
-// Chooses machines whose work fits on the others, so that they can be emptied and given back.
+// Chooses machines whose work fits on the others of their shard, so that they can be emptied and
+// given back. Owns what was observed of the jobs' attempts, by which it tells tasks that have run
+// for a while. Used by the consolidation rounds of the cluster leader.
 #pragma once
 #include <deque>
 #include <map>
@@ -8,19 +10,19 @@
 
 #include "coordination/fleet/capacity_plan.h"
 #include "coordination/membership/membership.h"
-#include "coordination/scheduling/arrival_forecast.h"
 
 namespace rushtrestle::coordination {
 
 class CapacityPlanner;
 
-// Services leave holes that nothing fills: the machine that pays least for itself is emptied, if
-// what it holds, what waits and what is expected all fit on the others. A replica is away for the
-// fraction of a second that its stop and start take; so only replicas that have run for a while are
-// moved, off a few machines a shard at a time. Work that would be lost is left to its end, with
-// nothing new beside it.
+/// Services leave holes that nothing fills: the machine that pays least for itself is emptied, if
+/// what it holds, what waits and what is expected all fit on the others. A replica is away for the
+/// fraction of a second that its stop and start take; so only replicas that have run for a while
+/// are moved, off a few machines a shard at a time. Work that would be lost is left to its end,
+/// with nothing new beside it.
 class Consolidator {
  public:
+  /// The arguments must outlive this object.
   Consolidator(Context& context, const store::StateCache& state_cache, const Membership& membership,
                const ImageCaches& images)
       : context_(context), state_cache_(state_cache), membership_(membership), images_(images) {}
@@ -42,10 +44,17 @@
     double at = 0;
     uint64_t attempts = 0;
   };
+  struct MachineCounts {
+    size_t present = 0;
+    size_t leaving = 0;  // of these: asked for by the cluster leader
+  };
   using Loads = std::map<std::string, Load>;  // by machine
 
+  MachineCounts count_machines(int shard) const;
   Loads loads_of(int shard) const;
-  bool settled(const store::JobRecord& r, const store::Placement& p) const;
+  bool settled(const store::JobRecord& job, const store::Placement& placement) const;
+  bool work_fits_elsewhere(const std::string& machine, int shard, const Loads& loads,
+                           const std::set<std::string>& emptied) const;
   bool has_target(const store::JobSpec& spec, const std::string& from, int shard,
                   const Loads& loads, const std::set<std::string>& emptied) const;
   std::vector<std::string> candidates(int shard, const Loads& loads,
--- a/src/coordination/fleet/orphan_adoption.cpp
+++ b/src/coordination/fleet/orphan_adoption.cpp
@@ -15,12 +15,12 @@
   for (const auto& team : context_.settings.teams)
     load[membership_.shard_of_team(team.name)] -= team.guarantee.cpus;
   const auto add = [&](const store::MachineRecord& machine) {
-    const auto shard = load.find(machine.shard);
-    if (machine.type == type && shard != load.end()) shard->second += kMachineWeight;
+    const auto of_shard = load.find(machine.shard);
+    if (machine.type == type && of_shard != load.end()) of_shard->second += kMachineWeight;
   };
   for (const auto& [id, machine] : state_cache_.present_machines())
     if (!machine->record.terminating()) add(machine->record);
-  for (const auto& [id, machine] : fresh_) add(machine);
+  for (const auto& [id, machine] : unrecorded_.records()) add(machine);
   return load;
 }
 
--- a/src/coordination/fleet/orphan_adoption.h
+++ b/src/coordination/fleet/orphan_adoption.h
@@ -1,9 +1,10 @@
-// Deals machines that nobody has a record of among the shards of the fleet.
+// Divides orphans, machines that the cloud lists and nobody has a record of, among the shards. Used
+// by the cloud inventory, one object for each page that the cloud lists.
 #pragma once
 #include <map>
-#include <set>
 #include <string>
 
+#include "coordination/fleet/unrecorded_machines.h"
 #include "coordination/membership/membership.h"
 
 namespace rushtrestle::coordination {
@@ -14,14 +15,15 @@
 /// adopted whole took the square of its size.
 class AdoptionShares {
  public:
-  using Fresh = std::map<std::string, store::MachineRecord>;  // rented, record not durable yet
-
   /// The arguments must outlive this object.
   AdoptionShares(const Context& context, const store::StateCache& state_cache,
-                 const Membership& membership, const Fresh& fresh)
-      : context_(context), state_cache_(state_cache), membership_(membership), fresh_(fresh) {}
+                 const Membership& membership, const UnrecordedMachines& unrecorded)
+      : context_(context),
+        state_cache_(state_cache),
+        membership_(membership),
+        unrecorded_(unrecorded) {}
 
-  /// The part of the next machine of this type, which counts as given to it.
+  /// The shard of the next machine of this type, which counts as given to it.
   int next_shard(const std::string& type);
 
  private:
@@ -31,7 +33,7 @@
   const Context& context_;
   const store::StateCache& state_cache_;
   const Membership& membership_;
-  const Fresh& fresh_;
+  const UnrecordedMachines& unrecorded_;
   std::map<std::string, Load> loads_;  // by type
 };
 
--- a/src/coordination/fleet/provisioner.cpp
+++ b/src/coordination/fleet/provisioner.cpp
@@ -54,8 +54,8 @@
 }
 
 // One machine each in turn.
-Provisioner::Order Provisioner::deal_in_turns(const MachineKind& kind,
-                                              const std::vector<MachineShortage*>& shortages) {
+Provisioner::Order Provisioner::divide_in_turns(const MachineKind& kind,
+                                                const std::vector<MachineShortage*>& shortages) {
   Order order{kind, store::Rank::low, {}, {}};
   for (bool more = true; more;) {
     more = false;
@@ -85,7 +85,7 @@
   }
   std::vector<Order> orders;
   for (const auto& [kind, of_kind] : by_kind)
-    if (!has_request(kind)) orders.push_back(deal_in_turns(kind, of_kind));
+    if (!has_request(kind)) orders.push_back(divide_in_turns(kind, of_kind));
   std::stable_sort(orders.begin(), orders.end(), [](const Order& a, const Order& b) {
     if (a.urgent.empty() != b.urgent.empty()) return b.urgent.empty();
     if (a.rank != b.rank) return a.rank > b.rank;
--- a/src/coordination/fleet/provisioner.h
+++ b/src/coordination/fleet/provisioner.h
@@ -59,8 +59,8 @@
     double pause_s = 0;
   };
 
-  static Order deal_in_turns(const MachineKind& kind,
-                             const std::vector<MachineShortage*>& shortages);
+  static Order divide_in_turns(const MachineKind& kind,
+                               const std::vector<MachineShortage*>& shortages);
   bool has_request(const MachineKind& kind) const;
   std::vector<Order> orders_for(std::vector<MachineShortage> shortages,
                                 std::vector<std::string> unused) const;
--- /dev/null
+++ b/src/coordination/fleet/shard_capacity.cpp
@@ -0,0 +1,92 @@
+#include "coordination/fleet/shard_capacity.h"
+
+#include <algorithm>
+
+namespace rushtrestle::coordination {
+
+using store::MachineRecord;
+
+ShardCapacity::ShardCapacity(const PlanningInputs& inputs, int shard, const ShardLoad& load,
+                             const ExcludedMachines& excluded)
+    : inputs_(inputs) {
+  slots_.reset(load.cpu_per_gpu);
+  const auto& outlook = inputs.outlook;
+  for (const auto& [id, machine] : inputs.state_cache.present_machines())
+    if (machine->record.shard == shard && machine->record.usable() && !excluded.count(id) &&
+        !boot_overdue(machine->record, inputs.state_cache, outlook.running, inputs.context.wall))
+      add_machine(machine->record, load);
+  for (const auto& machine : outlook.unrecorded)
+    if (machine.shard == shard && !inputs.state_cache.machine(machine.id))
+      add_machine(machine, load);
+  add_requested(shard);
+  existing_ = slots_.size();
+  was_empty_.reserve(existing_);
+  for (Place place = 0; place < existing_; ++place) {
+    const Slot& slot = slots_.at(place);
+    ++slots_of_[{slot.type->name, *slot.zone}];
+    was_empty_.push_back(slot.empty);
+  }
+}
+
+void ShardCapacity::add_machine(const MachineRecord& machine, const ShardLoad& load) {
+  const auto* type = inputs_.state_cache.type(machine.type);
+  if (!type) return;
+  Slot slot{machine.id, type, shared_zone(*type, machine.zone), machine.spot, type->size, true};
+  if (const auto used = load.used.find(machine.id); used != load.used.end()) {
+    slot.free.add(used->second, -1);
+    slot.empty = false;
+    slot.pinned = load.pinned.count(machine.id) != 0;
+  }
+  slots_.add(slot);
+}
+
+void ShardCapacity::add_requested(int shard) {
+  const auto requested = inputs_.outlook.requested.find(shard);
+  if (requested == inputs_.outlook.requested.end()) return;
+  for (const auto& kind : requested->second)
+    if (const auto* type = inputs_.state_cache.type(kind.type))
+      slots_.add({"", type, shared_zone(*type, kind.zone), kind.spot, type->size, true});
+}
+
+int ShardCapacity::count(const std::string& type, const std::string& zone) const {
+  const auto slots = slots_of_.find({type, zone});
+  return slots == slots_of_.end() ? 0 : slots->second;
+}
+
+std::optional<ShardCapacity::Place> ShardCapacity::add(const MachineKind& kind) {
+  const auto* type = inputs_.state_cache.type(kind.type);
+  if (!type) return std::nullopt;
+  const auto zone = std::find(type->zones.begin(), type->zones.end(), kind.zone);
+  if (zone == type->zones.end()) return std::nullopt;
+  const Place place = slots_.add({"", type, &*zone, kind.spot, type->size, true});
+  ++slots_of_[{type->name, kind.zone}];
+  return place;
+}
+
+bool ShardCapacity::any_may_take(const store::JobSpec& spec, Place from) const {
+  for (Place place = from; place < slots_.size(); ++place) {
+    const Slot& slot = slots_.at(place);
+    if (spec.per_task.fits(slot.free) && kind_allowed(spec, slot.spot) &&
+        type_allowed(spec, slot.type->name))
+      return true;
+  }
+  return false;
+}
+
+void ShardCapacity::restore(const Checkpoint& checkpoint) {
+  slots_.undo_to(checkpoint.changes);
+  slots_of_ = checkpoint.slots_of;
+}
+
+std::vector<std::string> ShardCapacity::unused_machines() const {
+  std::vector<std::string> unused;
+  for (Place place = 0; place < existing_; ++place) {
+    const Slot& slot = slots_.at(place);
+    if (was_empty_[place] && slot.empty && !slot.machine.empty() &&
+        inputs_.state_cache.machine(slot.machine))
+      unused.push_back(slot.machine);
+  }
+  return unused;
+}
+
+}  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/unused_machines.h
+++ b/src/coordination/fleet/unused_machines.h
@@ -1,4 +1,5 @@
-// The machines that a plan has no use for, by kind and part.
+// The machines that a plan has no use for, by kind and shard. Each is handed out once. Used for the
+// sharing of machines between shards and for provisioning, an object for each plan.
 #pragma once
 #include <deque>
 #include <map>
@@ -12,7 +13,7 @@
 namespace rushtrestle::coordination {
 
 /// Hands out machines of a kind, the first of the plan first. Indexed: to look through all of them
-/// for each machine that another shard wants took the square of the fleet.
+/// for each machine that another shard lacks took the square of the fleet.
 class UnusedMachines {
  public:
   /// Machines that the state cache does not have are left out.
@@ -24,10 +25,11 @@
   std::vector<std::string> remaining() const;
 
  private:
+  using Places = std::deque<size_t>;  // in `machines_`, ascending
+
   std::vector<std::string> machines_;
-  std::map<MachineKind, std::map<int, std::deque<size_t>>>
-      places_;  // in `machines_`, by kind and part
-  std::set<size_t> left_;
+  std::map<MachineKind, std::map<int, Places>> places_;  // by kind and shard
+  std::set<size_t> left_;                                // places that were not taken
 };
 
 }  // namespace rushtrestle::coordination
