--- a/src/coordination/fleet/cloud_inventory.h
+++ b/src/coordination/fleet/cloud_inventory.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/fleet/machine_record_writer.h"
+#include "coordination/fleet/fleet_record_writer.h"
 #include "coordination/fleet/orphan_adoption.h"
 #include "coordination/fleet/provisioner.h"
 #include "coordination/fleet/unrecorded_machines.h"
@@ -18,7 +18,7 @@
  public:
   /// The arguments must outlive this object.
   CloudInventory(Context& context, const store::StateCache& state_cache,
-                 const Membership& membership, MachineRecordWriter& records,
+                 const Membership& membership, FleetRecordWriter& records,
                  UnrecordedMachines& unrecorded, const Provisioner& provisioner,
                  TokenBucket& cloud_budget)
       : context_(context),
@@ -51,7 +51,7 @@
   Context& context_;
   const store::StateCache& state_cache_;
   const Membership& membership_;
-  MachineRecordWriter& records_;
+  FleetRecordWriter& records_;
   UnrecordedMachines& unrecorded_;
   const Provisioner& provisioner_;
   TokenBucket& cloud_budget_;
--- a/src/coordination/fleet/cluster_leader.h
+++ b/src/coordination/fleet/cluster_leader.h
@@ -7,9 +7,9 @@
 #include "coordination/fleet/cloud_inventory.h"
 #include "coordination/fleet/consolidation_rounds.h"
 #include "coordination/fleet/fair_share_reclaim.h"
+#include "coordination/fleet/fleet_record_writer.h"
 #include "coordination/fleet/machine_deletion.h"
 #include "coordination/fleet/machine_reassignment.h"
-#include "coordination/fleet/machine_record_writer.h"
 #include "coordination/fleet/provisioner.h"
 #include "coordination/fleet/record_format_marker.h"
 #include "coordination/fleet/type_catalogue.h"
@@ -45,7 +45,7 @@
   const Membership& membership_;
   const ArrivalForecast& arrival_forecast_;
   TokenBucket cloud_budget_;
-  MachineRecordWriter machine_records_;
+  FleetRecordWriter machine_records_;
   UnrecordedMachines unrecorded_;
   RecordFormatMarker record_format_;
   TypeCatalogue types_;
--- a/src/coordination/fleet/machine_record_writer.cpp
+++ b/src/coordination/fleet/fleet_record_writer.cpp
@@ -1,11 +1,11 @@
-#include "coordination/fleet/machine_record_writer.h"
+#include "coordination/fleet/fleet_record_writer.h"
 
 #include <utility>
 
 namespace rushtrestle::coordination {
 
-void MachineRecordWriter::update(const std::string& machine, WriteCause cause, Change change,
-                                 Done done) {
+void FleetRecordWriter::update(const std::string& machine, WriteCause cause, Change change,
+                               Done done) {
   WriteRequest write;
   write.key = store::machine_key(machine);
   write.cause = cause;
--- a/src/coordination/fleet/machine_record_writer.h
+++ b/src/coordination/fleet/fleet_record_writer.h
@@ -9,15 +9,15 @@
 
 namespace rushtrestle::coordination {
 
-class MachineRecordWriter {
+class FleetRecordWriter {
  public:
   /// Changes the record when the write is about to leave; false: nothing is to be written.
   using Change = std::function<bool(store::MachineRecord&)>;
   using Done = std::function<void(WriteOutcome, uint64_t mod_revision)>;
 
   /// The arguments must outlive this object.
-  MachineRecordWriter(const store::StateCache& state_cache, StateStoreClient& state_store,
-                      const Membership& membership)
+  FleetRecordWriter(const store::StateCache& state_cache, StateStoreClient& state_store,
+                    const Membership& membership)
       : state_cache_(state_cache), state_store_(state_store), membership_(membership) {}
 
   /// Writes the record as `change` leaves it. Skipped if the state cache has no such machine.
--- a/src/coordination/fleet/machine_deletion.h
+++ b/src/coordination/fleet/machine_deletion.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/fleet/machine_record_writer.h"
+#include "coordination/fleet/fleet_record_writer.h"
 
 namespace rushtrestle::coordination {
 
@@ -17,7 +17,7 @@
   /// The arguments must outlive this object. `on_deleted` is called with a machine's id when the
   /// cloud has confirmed its deletion, before its record changes.
   MachineDeletion(Context& context, const store::StateCache& state_cache,
-                  MachineRecordWriter& records, TokenBucket& cloud_budget,
+                  FleetRecordWriter& records, TokenBucket& cloud_budget,
                   std::function<void(const std::string& machine)> on_deleted)
       : context_(context),
         state_cache_(state_cache),
@@ -40,7 +40,7 @@
 
   Context& context_;
   const store::StateCache& state_cache_;
-  MachineRecordWriter& records_;
+  FleetRecordWriter& records_;
   TokenBucket& cloud_budget_;
   std::function<void(const std::string& machine)> on_deleted_;
   double next_request_ = 0;
--- a/src/coordination/fleet/machine_reassignment.h
+++ b/src/coordination/fleet/machine_reassignment.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "coordination/fleet/capacity_plan.h"
-#include "coordination/fleet/machine_record_writer.h"
+#include "coordination/fleet/fleet_record_writer.h"
 
 namespace rushtrestle::coordination {
 
@@ -23,7 +23,7 @@
  public:
   /// The arguments must outlive this object.
   MachineReassignment(Context& context, const store::StateCache& state_cache,
-                      MachineRecordWriter& records)
+                      FleetRecordWriter& records)
       : context_(context), state_cache_(state_cache), records_(records) {}
 
   /// At the start of a leadership: nothing is known to be idle.
@@ -43,7 +43,7 @@
 
   Context& context_;
   const store::StateCache& state_cache_;
-  MachineRecordWriter& records_;
+  FleetRecordWriter& records_;
   std::map<std::string, double>
       idle_since_;  // steady time, by machine that the last plan left unused
 };
--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -45,7 +45,7 @@
   if (state_store_.refuses(*p.value)) return false;  // until enough of its tasks have ended
   p.preconditions.push_back({store::shard_key(owned->shard), held});
   // Whoever cancels a job whose record is too large to be written again writes beside it
-  // (JobService::write_cancel): what was decided before that must not stand after it.
+  // (JobService::write_cancellation): what was decided before that must not stand after it.
   if (state_store_.oversized(to_json(durable->record)))
     p.preconditions.push_back(
         {store::cancel_key(id), state_cache_.mod_revision_of(store::cancel_key(id))});
