--- a/src/coordination/shard/heartbeat_intake.cpp
+++ b/src/coordination/shard/heartbeat_intake.cpp
@@ -1,68 +1,74 @@
 #include "coordination/shard/heartbeat_intake.h"
 
 #include <algorithm>
-#include <set>
+#include <string>
 #include <utility>
 
 namespace rushtrestle::coordination {
 
 using store::JobKind;
 
-// What no worker should say changes nothing of what we hold: a task that is not placed here is
-// stopped, whatever its state. Told once in a while, as it shows a faulty worker or a record that
-// was lost.
+// What no worker should report changes nothing of what is placed: a task that is not placed on the
+// machine is stopped, whatever its state. Logged at a limited rate, as it shows a faulty worker or
+// a record that was lost.
 void HeartbeatIntake::log_inconsistencies(const Heartbeat& heartbeat) {
-  for (const auto& t : heartbeat.tasks) {
-    const auto* durable = state_cache_.job(t.job);
+  for (const auto& task : heartbeat.tasks) {
+    const auto* durable = state_cache_.job(task.job);
     if (!durable) continue;
-    const ShardJob* j = state_.find_job(t.job);
-    const uint64_t given = std::max(durable->record.attempts, j ? j->desired.attempts : 0);
-    if (t.attempt > given)
-      context_.log_rate_limited(
-          "attempt", heartbeat.machine + " reports attempt " + std::to_string(t.attempt) + " of " +
-                         t.job + ", of " + std::to_string(given) + " that were given");
-    if (t.gathering && durable->record.spec.kind != JobKind::gang)
-      context_.log_rate_limited("gathering", heartbeat.machine + " reports that a task of " +
-                                                 t.job + " gathers, which is no gang");
+    const ShardJob* job = state_.find_job(task.job);
+    const uint64_t last_attempt =
+        std::max(durable->record.attempts, job ? job->desired.attempts : 0);
+    if (task.attempt > last_attempt)
+      context_.log_rate_limited("attempt", "unknown_attempt_reported machine=" + heartbeat.machine +
+                                               " job=" + task.job +
+                                               " attempt=" + std::to_string(task.attempt) +
+                                               " last_attempt=" + std::to_string(last_attempt));
+    if (task.gathering && durable->record.spec.kind != JobKind::gang)
+      context_.log_rate_limited("gathering", "gathering_reported_of_non_gang machine=" +
+                                                 heartbeat.machine + " job=" + task.job);
   }
 }
 
-bool HeartbeatIntake::apply(ShardMachine& m, const Heartbeat& heartbeat) {
+bool HeartbeatIntake::apply(ShardMachine& machine, const Heartbeat& heartbeat) {
   if (std::make_pair(heartbeat.agent_epoch, heartbeat.sequence) <=
-      std::make_pair(m.agent_epoch, m.sequence))
+      std::make_pair(machine.agent_epoch, machine.sequence))
     return false;
   log_inconsistencies(heartbeat);
-  // A newer agent epoch: whatever ran is gone, and late commands of the old one are dropped.
-  if (heartbeat.agent_epoch > m.agent_epoch) m.unacknowledged_start = 0;
-  if (m.unacknowledged_start != 0 && heartbeat.fencing_token > m.unacknowledged_start)
-    m.unacknowledged_start = 0;
-  if (!m.known) state_.request_scheduling();
-  m.known = true;
-  m.agent_epoch = heartbeat.agent_epoch;
-  m.sequence = heartbeat.sequence;
-  m.highest_token_seen = std::max(m.highest_token_seen, heartbeat.fencing_token);
-  m.reported = heartbeat.tasks;
-  if (context_.now - m.last_seen > context_.tunables.probe_after_s) m.heard_since = context_.now;
-  m.last_seen = context_.now;
-  if (heartbeat.notice_s && !m.notice_s) {
-    // What can save goes elsewhere in time; the rest runs on as long as it may.
-    std::set<std::string> changed;
-    for (const auto& [key, attempt] : m.placed) {
-      ShardJob* j = state_.find_job(key.first);
-      if (!j || j->desired.spec.checkpoint_s <= 0 || *heartbeat.notice_s < j->desired.spec.save_s)
-        continue;
-      for (auto& p : j->desired.placed)
-        if (p.task == key.second) p.stopping = true;
-      changed.insert(key.first);
-    }
-    for (const auto& id : changed) job_writer_.enqueue(id, WriteCause::stop);
-  }
-  m.notice_s = heartbeat.notice_s;
-  const auto* record = state_cache_.machine(m.id);
-  m.address = heartbeat.address;
-  if (record && record->record.address != m.address && !m.address_queued)
-    machine_writer_.record_address(m);
+  settle_unacknowledged_start(machine, heartbeat);
+  if (!machine.known) state_.request_scheduling();
+  machine.known = true;
+  machine.agent_epoch = heartbeat.agent_epoch;
+  machine.sequence = heartbeat.sequence;
+  machine.highest_token_seen = std::max(machine.highest_token_seen, heartbeat.fencing_token);
+  machine.reported = heartbeat.tasks;
+  if (context_.now - machine.last_seen > context_.tunables.probe_after_s)
+    machine.heard_since = context_.now;
+  machine.last_seen = context_.now;
+  if (heartbeat.notice_s && !machine.notice_s) stop_what_can_save(machine, *heartbeat.notice_s);
+  machine.notice_s = heartbeat.notice_s;
+  machine.address = heartbeat.address;
+  const auto* durable = state_cache_.machine(machine.id);
+  if (durable && durable->record.address != machine.address && !machine.address_queued)
+    machine_writer_.record_address(machine);
   return true;
 }
 
+// A start that was not answered can't arrive any more in a newer agent epoch, as the worker drops
+// late commands of the old one and whatever ran is gone, nor once the worker has seen a higher
+// fencing token than the start's.
+void HeartbeatIntake::settle_unacknowledged_start(ShardMachine& machine,
+                                                  const Heartbeat& heartbeat) {
+  if (heartbeat.agent_epoch > machine.agent_epoch ||
+      heartbeat.fencing_token > machine.unacknowledged_start)
+    machine.unacknowledged_start = 0;
+}
+
+// The cloud takes the machine back in `notice_s` seconds. What can save in time is stopped and goes
+// elsewhere; the rest runs on as long as it may.
+void HeartbeatIntake::stop_what_can_save(ShardMachine& machine, double notice_s) {
+  job_writer_.stop_tasks(machine, [&](const store::JobRecord& job, const store::Placement&) {
+    return job.spec.checkpoint_s > 0 && notice_s >= job.spec.save_s;
+  });
+}
+
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/heartbeat_intake.h
+++ b/src/coordination/shard/heartbeat_intake.h
@@ -1,7 +1,8 @@
-// Takes in what a worker tells, whichever way it came: by a heartbeat of its own, through another
-// controller, or in the answer to a command.
+// Applies what a worker reports to its machine, whichever way it came: by a heartbeat of its own,
+// forwarded by another controller, or in the answer to a command.
 //
-// Invariant: only what is newer by (agent epoch, sequence) changes anything.
+// Invariant: only what is newer by (agent epoch, sequence) changes anything. Called by
+// HeartbeatHandler and CommandDispatcher.
 #pragma once
 #include "coordination/shard/job_record_writer.h"
 #include "coordination/shard/machine_record_writer.h"
@@ -18,11 +19,12 @@
         job_writer_(job_writer),
         machine_writer_(machine_writer) {}
 
-  /// False: an old one, which changes nothing.
+  /// Applies the heartbeat to the machine. False: not newer than the last one, nothing changed.
   bool apply(ShardMachine& machine, const Heartbeat& heartbeat);
 
  private:
   void log_inconsistencies(const Heartbeat& heartbeat);
+  void settle_unacknowledged_start(ShardMachine& machine, const Heartbeat& heartbeat);
   void stop_what_can_save(ShardMachine& machine, double notice_s);
 
   Context& context_;
--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -1,6 +1,8 @@
 #include "coordination/shard/job_record_writer.h"
 
+#include <set>
 #include <utility>
+#include <vector>
 
 #include "coordination/scheduling/gang_lifecycle.h"
 
@@ -9,119 +11,144 @@
 using store::MachinePhase;
 
 void JobRecordWriter::enqueue(const std::string& id, WriteCause cause) {
-  ShardJob* j = state_.find_job(id);
-  if (!j) return;
-  spread_stop(j->desired);
-  ++j->desired_version;
+  ShardJob* job = state_.find_job(id);
+  if (!job) return;
+  spread_stop(job->desired);
+  ++job->desired_version;
   state_store_.write_metrics().change(cause);
   const WritePriority priority = priority_of(cause);
-  if (j->queued_priority && *j->queued_priority <= priority) return;
-  j->queued_priority = priority;
-  WriteRequest w;
-  w.key = store::job_key(id);
-  w.cause = cause;
-  w.rank = j->desired.spec.rank;
-  w.team = j->desired.spec.team;
-  w.prepare = [this, id](Prepared& p) { return prepare(id, p); };
-  w.done = [this, id](WriteOutcome outcome, uint64_t mod_revision) {
+  if (job->queued_priority && *job->queued_priority <= priority) return;
+  job->queued_priority = priority;
+  WriteRequest request;
+  request.key = store::job_key(id);
+  request.cause = cause;
+  request.rank = job->desired.spec.rank;
+  request.team = job->desired.spec.team;
+  request.prepare = [this, id](Prepared& prepared) { return prepare(id, prepared); };
+  request.done = [this, id](WriteOutcome outcome, uint64_t mod_revision) {
     on_written(id, outcome, mod_revision);
   };
-  state_store_.write(std::move(w));
+  state_store_.write(std::move(request));
 }
 
-bool JobRecordWriter::prepare(const std::string& id, Prepared& p) {
-  ShardJob* owned = state_.find_job(id);
-  const auto* durable = state_cache_.job(id);
-  const uint64_t held = owned ? membership_.shard_token(owned->shard) : 0;
-  if (!owned) return false;
-  owned->queued_priority.reset();
-  if (!owned->dirty() || !durable || held == 0) return false;
-  owned->prepared_version = owned->desired_version;
-  // A final state that is durable is never left, whatever we came to think meanwhile.
-  if (durable->record.final_state()) owned->desired.status = durable->record.status;
-  state_.update_pending(*owned);
-  p.expected = durable->mod_revision;
-  p.value = to_json(owned->desired);
-  if (state_store_.refuses(*p.value)) return false;  // until enough of its tasks have ended
-  p.preconditions.push_back({store::shard_key(owned->shard), held});
-  // Whoever cancels a job whose record is too large to be written again writes beside it
-  // (JobService::write_cancel): what was decided before that must not stand after it.
-  if (state_store_.oversized(to_json(durable->record)))
-    p.preconditions.push_back(
-        {store::cancel_key(id), state_cache_.mod_revision_of(store::cancel_key(id))});
-  // A new placement holds only if its machine was not offered or marked for deletion meanwhile.
-  for (const auto& placed : owned->desired.placed) {
-    if (!durable->record.same_placement(placed))
-      p.preconditions.push_back({store::machine_key(placed.machine),
-                                 state_cache_.mod_revision_of(store::machine_key(placed.machine))});
+void JobRecordWriter::stop_tasks(const ShardMachine& machine, const TaskFilter& to_stop) {
+  std::set<std::string> changed;
+  for (const auto& [key, attempt] : machine.placed) {
+    ShardJob* job = state_.find_job(key.first);
+    if (!job) continue;
+    for (auto& placement : job->desired.placed) {
+      if (placement.task != key.second || !to_stop(job->desired, placement)) continue;
+      placement.stopping = true;
+      changed.insert(key.first);
+    }
   }
+  for (const auto& id : changed) enqueue(id, WriteCause::stop);
+}
+
+bool JobRecordWriter::prepare(const std::string& id, Prepared& prepared) {
+  ShardJob* job = state_.find_job(id);
+  if (!job) return false;
+  job->queued_priority.reset();
+  const auto* durable = state_cache_.job(id);
+  const uint64_t shard_token = membership_.shard_token(job->shard);
+  if (!job->dirty() || !durable || shard_token == 0) return false;
+  job->prepared_version = job->desired_version;
+  // A final state that is durable is never left, whatever was decided here since.
+  if (durable->record.final_state()) job->desired.status = durable->record.status;
+  state_.update_pending(*job);
+  prepared.expected = durable->mod_revision;
+  prepared.value = to_json(job->desired);
+  // Too large to be stored: it is written once enough of its tasks have ended.
+  if (state_store_.refuses(*prepared.value)) return false;
+  prepared.preconditions.push_back({store::shard_key(job->shard), shard_token});
+  add_preconditions(*job, durable->record, prepared);
   return true;
 }
 
+void JobRecordWriter::add_preconditions(const ShardJob& job, const store::JobRecord& durable,
+                                        Prepared& prepared) const {
+  const auto must_be_unchanged = [&](const std::string& key) {
+    prepared.preconditions.push_back({key, state_cache_.mod_revision_of(key)});
+  };
+  // A job whose record is too large to be written again is cancelled by a write to a key of its own
+  // (JobService::write_cancel): what was decided before the cancellation must not become durable
+  // after it.
+  if (state_store_.oversized(to_json(durable)))
+    must_be_unchanged(store::cancel_key(durable.spec.id));
+  // A new placement holds only if its machine was not offered or marked for deletion meanwhile.
+  for (const auto& placement : job.desired.placed)
+    if (!durable.same_placement(placement))
+      must_be_unchanged(store::machine_key(placement.machine));
+}
+
 void JobRecordWriter::on_written(const std::string& id, WriteOutcome outcome,
                                  uint64_t mod_revision) {
-  ShardJob* owned = state_.find_job(id);
-  if (!owned) return;
+  ShardJob* job = state_.find_job(id);
+  if (!job || outcome == WriteOutcome::skipped) return;
   if (outcome == WriteOutcome::applied) {
-    owned->durable_version = owned->prepared_version;
-    if (owned->first_run.first_written_at == 0 && owned->first_run.first_placed_at > 0)
-      owned->first_run.first_written_at = context_.now;
-    queue_commands_for(*owned);
-    if (state_.pending_jobs().count(id) != 0) state_.request_scheduling();
-    if (owned->desired.final_state() && owned->desired.placed.empty() && !owned->dirty() &&
-        !state_.jobs_that_lost_tasks().count(id))
-      state_.drop_job(id);
-  } else if (outcome != WriteOutcome::skipped) {
-    if (outcome == WriteOutcome::refused)
-      owned->retry_at = context_.now + context_.settings.lease_s;
-    queue_commands_for(*owned);
-    reset_to_durable(id);
-    owned = state_.find_job(id);
-    if (!owned) return;
-    queue_commands_for(*owned);
-    if (outcome == WriteOutcome::unsettled) settle_by_writing(*owned, mod_revision);
+    on_applied(id, *job);
+    return;
   }
+  if (outcome == WriteOutcome::refused) job->retry_at = context_.now + context_.settings.lease_s;
+  queue_commands_for(*job);
+  reset_to_durable(id);
+  job = state_.find_job(id);
+  if (!job) return;
+  queue_commands_for(*job);
+  if (outcome == WriteOutcome::unsettled) settle_by_writing(*job, mod_revision);
 }
 
-// A write without an answer may be carried out seconds later, over what its shard leader has read
-// and begun from meanwhile: tasks that were started by the record as it was ran on, while the late
-// write placed them elsewhere. Any write moves the mod revision, and only one of the two is carried
-// out; until then nothing is started (start_missing_tasks).
-void JobRecordWriter::settle_by_writing(ShardJob& j, uint64_t mod_revision) {
-  j.unsettled_revision = mod_revision;
-  enqueue(j.desired.spec.id, WriteCause::placement);
+void JobRecordWriter::on_applied(const std::string& id, ShardJob& job) {
+  job.durable_version = job.prepared_version;
+  if (job.first_run.first_written_at == 0 && job.first_run.first_placed_at > 0)
+    job.first_run.first_written_at = context_.now;
+  queue_commands_for(job);
+  if (state_.pending_jobs().count(id) != 0) state_.request_scheduling();
+  if (job.desired.final_state() && job.desired.placed.empty() && !job.dirty() &&
+      !state_.jobs_that_lost_tasks().count(id))
+    state_.drop_job(id);
+}
+
+// A write without an answer may be carried out seconds later, and replace a record that the shard
+// leader has read and acted on meanwhile: tasks that were started by the record as it was ran on,
+// while the late write placed them elsewhere. Any write moves the mod revision, and only one of the
+// two can be applied; until then nothing is started (TaskReconciler::start_missing_tasks).
+void JobRecordWriter::settle_by_writing(ShardJob& job, uint64_t mod_revision) {
+  job.unsettled_revision = mod_revision;
+  enqueue(job.desired.spec.id, WriteCause::placement);
 }
 
 // What is durable now may be started, stopped or, where tasks have left, forgotten.
-void JobRecordWriter::queue_commands_for(ShardJob& j) {
-  for (const auto& p : j.desired.placed) dispatch_queue_.add(p.machine);
-  dispatch_queue_.merge(j.left_machines);
-  j.left_machines.clear();
+void JobRecordWriter::queue_commands_for(ShardJob& job) {
+  for (const auto& placement : job.desired.placed) dispatch_queue_.add(placement.machine);
+  dispatch_queue_.merge(job.left_machines);
+  job.left_machines.clear();
 }
 
 void JobRecordWriter::reset_to_durable(const std::string& id) {
-  ShardJob* j = state_.find_job(id);
+  ShardJob* job = state_.find_job(id);
   const auto* durable = state_cache_.job(id);
-  // Over, and without a machine: what was planned here since can't become durable any more.
+  // Finished, and placed on no machine: what was decided here since can't become durable any more.
   if (state_cache_.finished_job(id)) state_.drop_job(id);
-  if (!j || !durable) return;
-  state_.replace_desired(*j, durable->record);
+  if (!job || !durable) return;
+  state_.replace_desired(*job, durable->record);
   drop_deleted_placements(id);
   state_.request_scheduling();
 }
 
-// The record may still place tasks on a machine that is gone: its shard leader crashed before it
-// wrote that, or the write had no answer and the record was taken up again after the machine had
-// gone. Nothing would ever report those tasks, and their job would never end.
+// The record may still place tasks on a machine that is deleted: the previous shard leader crashed
+// before it wrote that they were lost, or the write had no answer and the record was read again
+// after the deletion. Nothing would ever report those tasks, and their job would never end.
 void JobRecordWriter::drop_deleted_placements(const std::string& id) {
-  ShardJob* j = state_.find_job(id);
-  std::vector<uint32_t> gone;
-  for (const auto& p : j->desired.placed)
-    if (const auto* m = state_cache_.machine(p.machine);
-        m && m->record.phase == MachinePhase::deleted)
-      gone.push_back(p.task);
-  if (gone.empty()) return;
-  for (const uint32_t t : gone) state_.unbind_lost_member(*j, t);
+  ShardJob* job = state_.find_job(id);
+  std::vector<uint32_t> lost_tasks;
+  for (const auto& placement : job->desired.placed) {
+    const auto* machine = state_cache_.machine(placement.machine);
+    if (machine && machine->record.phase == MachinePhase::deleted)
+      lost_tasks.push_back(placement.task);
+  }
+  if (lost_tasks.empty()) return;
+  for (const uint32_t task : lost_tasks) state_.unbind_lost_member(*job, task);
   enqueue(id, WriteCause::placement);
 }
 
--- a/src/coordination/shard/machine_record_writer.cpp
+++ b/src/coordination/shard/machine_record_writer.cpp
@@ -7,58 +7,60 @@
 using store::MachineRecord;
 
 void MachineRecordWriter::enqueue(const std::string& id, WriteCause cause, Change change) {
-  ShardMachine* m = state_.find_machine(id);
-  if (!m || m->record_write_queued) return;
-  m->record_write_queued = true;
-  WriteRequest w;
-  w.key = store::machine_key(id);
-  w.cause = cause;
-  w.prepare = [this, id, change = std::move(change)](Prepared& p) {
-    const ShardMachine* mine = state_.find_machine(id);
-    const auto* durable = state_cache_.machine(id);
-    if (!mine || !durable || durable->record.terminating()) return false;
-    const uint64_t held = membership_.shard_token(durable->record.shard);
-    MachineRecord r = durable->record;
-    if (held == 0 || !change(r)) return false;
-    p.expected = durable->mod_revision;
-    p.value = to_json(r);
-    p.preconditions.push_back({store::shard_key(durable->record.shard), held});
-    return true;
+  ShardMachine* queued = state_.find_machine(id);
+  if (!queued || queued->record_write_queued) return;
+  queued->record_write_queued = true;
+  WriteRequest request;
+  request.key = store::machine_key(id);
+  request.cause = cause;
+  request.prepare = [this, id, change = std::move(change)](Prepared& prepared) {
+    return prepare_change(id, change, prepared);
   };
-  w.done = [this, id](WriteOutcome, uint64_t) {
-    if (ShardMachine* mine = state_.find_machine(id)) {
-      mine->record_write_queued = false;
-      mine->marking_for_deletion = false;
-      dispatch_queue_.add(id);
-    }
+  request.done = [this, id](WriteOutcome, uint64_t) {
+    ShardMachine* machine = state_.find_machine(id);
+    if (!machine) return;
+    machine->record_write_queued = false;
+    machine->marking_for_deletion = false;
+    dispatch_queue_.add(id);
   };
-  state_store_.write(std::move(w));
+  state_store_.write(std::move(request));
 }
 
-// In a fleet that comes up at once these were a third of all writes, and work waited behind them.
-void MachineRecordWriter::record_address(ShardMachine& m) {
-  m.address_queued = true;
-  WriteRequest w;
-  w.key = store::machine_key(m.id);
-  w.cause = WriteCause::machine_address;
-  w.prepare = [this, id = m.id](Prepared& p) {
-    ShardMachine* mine = state_.find_machine(id);
-    if (mine) mine->address_queued = false;
-    const auto* durable = state_cache_.machine(id);
-    if (!mine || !durable || durable->record.terminating() ||
-        durable->record.address == mine->address)
-      return false;
-    const uint64_t held = membership_.shard_token(durable->record.shard);
-    if (held == 0) return false;
-    MachineRecord r = durable->record;
-    r.address = mine->address;
-    p.expected = durable->mod_revision;
-    p.value = to_json(r);
-    p.preconditions.push_back({store::shard_key(r.shard), held});
-    return true;
+// In a fleet that comes up at once these were a third of all writes, and work waited behind them:
+// hence their background priority.
+void MachineRecordWriter::record_address(ShardMachine& queued) {
+  queued.address_queued = true;
+  WriteRequest request;
+  request.key = store::machine_key(queued.id);
+  request.cause = WriteCause::machine_address;
+  request.prepare = [this, id = queued.id](Prepared& prepared) {
+    ShardMachine* machine = state_.find_machine(id);
+    if (!machine) return false;
+    machine->address_queued = false;
+    const auto take_over_address = [machine](MachineRecord& record) {
+      if (record.address == machine->address) return false;
+      record.address = machine->address;
+      return true;
+    };
+    return prepare_change(id, take_over_address, prepared);
   };
-  w.done = [this, id = m.id](WriteOutcome, uint64_t) { dispatch_queue_.add(id); };
-  state_store_.write(std::move(w));
+  request.done = [this, id = queued.id](WriteOutcome, uint64_t) { dispatch_queue_.add(id); };
+  state_store_.write(std::move(request));
+}
+
+bool MachineRecordWriter::prepare_change(const std::string& id, const Change& change,
+                                         Prepared& prepared) const {
+  const auto* durable = state_cache_.machine(id);
+  if (!state_.find_machine(id) || !durable || durable->record.terminating()) return false;
+  // The shard that the machine belongs to until the change is durable: the change may move it.
+  const int shard = durable->record.shard;
+  const uint64_t shard_token = membership_.shard_token(shard);
+  MachineRecord record = durable->record;
+  if (shard_token == 0 || !change(record)) return false;
+  prepared.expected = durable->mod_revision;
+  prepared.value = to_json(record);
+  prepared.preconditions.push_back({store::shard_key(shard), shard_token});
+  return true;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/machine_record_writer.h
+++ b/src/coordination/shard/machine_record_writer.h
@@ -1,5 +1,8 @@
-// Writes the records of machines of the shards that this controller leads, each under the condition
-// that it still leads the shard.
+// Writes the records of machines of the shards that this controller leads.
+//
+// Invariant: each write is conditioned on the shard's key, so that it fails if this controller no
+// longer leads the shard, and on the record that the change was made to. Called by the modules of
+// this package that decide on machines.
 #pragma once
 #include <functional>
 #include <string>
@@ -22,12 +25,18 @@
         state_(state),
         dispatch_queue_(dispatch_queue) {}
 
-  /// One write a machine at a time: while one waits, another is passed over.
+  /// Queues a change of the machine's record. One write a machine at a time: while one waits,
+  /// another is passed over.
   void enqueue(const std::string& id, WriteCause cause, Change change);
-  /// Brings the address that the worker told into the record, when the budget allows.
+  /// Queues a write that brings the address that the worker reported into the record; it leaves
+  /// when the write budget allows.
   void record_address(ShardMachine& machine);
 
  private:
+  /// Prepares the write of the changed record, conditioned on the record as it is durable and on
+  /// the shard's key. False: the machine is not ours or terminating, or there is nothing to write.
+  bool prepare_change(const std::string& id, const Change& change, Prepared& prepared) const;
+
   store::StateCache& state_cache_;
   StateStoreClient& state_store_;
   const Membership& membership_;
--- a/src/coordination/shard/reassignment_responder.cpp
+++ b/src/coordination/shard/reassignment_responder.cpp
@@ -1,52 +1,58 @@
 #include "coordination/shard/reassignment_responder.h"
 
-#include <set>
 #include <string>
 
 namespace rushtrestle::coordination {
 
 using store::JobKind;
+using store::JobRecord;
 using store::MachinePhase;
 using store::MachineRecord;
+using store::Placement;
 
-void ReassignmentResponder::answer_reassignment(ShardMachine& m) {
-  const auto* record = state_cache_.machine(m.id);
-  if (!record || record->record.phase != MachinePhase::reassignment_requested) return;
-  const bool empty = m.placed.empty();
-  if (!empty && record->record.drain && (m.non_preemptible == 0 || record->record.next_shard < 0)) {
-    // The leader takes it back, for a team within its guarantee or because its work fits on fewer
-    // machines: what runs here is stopped, saved and queued again. For the latter alone no work is
-    // lost.
-    const bool spare_work = record->record.next_shard < 0;
-    std::set<std::string> changed;
-    for (const auto& [key, attempt] : m.placed)
-      if (ShardJob* j = state_.find_job(key.first))
-        for (auto& p : j->desired.placed)
-          if (p.task == key.second && !p.stopping &&
-              !(spare_work && j->desired.spec.kind != JobKind::service &&
-                j->desired.spec.checkpoint_s <= 0)) {
-            p.stopping = true;
-            changed.insert(key.first);
-          }
-    for (const auto& id : changed) job_writer_.enqueue(id, WriteCause::stop);
-    return;
+void ReassignmentResponder::answer_reassignment(ShardMachine& machine) {
+  const auto* durable = state_cache_.machine(machine.id);
+  if (!durable || durable->record.phase != MachinePhase::reassignment_requested) return;
+  const bool may_drain =
+      durable->record.drain && (machine.non_preemptible == 0 || durable->record.next_shard < 0);
+  if (!machine.placed.empty() && may_drain) {
+    drain(machine, durable->record);
+  } else {
+    write_answer(machine);
   }
-  machine_writer_.enqueue(m.id, WriteCause::machine_reassignment_answer,
-                          [this, empty, id = m.id](MachineRecord& r) {
-                            if (r.phase != MachinePhase::reassignment_requested) return false;
-                            const ShardMachine* mine = state_.find_machine(id);
-                            r.drain = false;
-                            if (empty && mine && mine->placed.empty()) {
-                              if (r.next_shard < 0) {
-                                r.phase = MachinePhase::released;
-                                return true;
-                              }
-                              r.shard = r.next_shard;
-                            }
-                            r.phase = MachinePhase::assigned;
-                            r.next_shard = -1;
-                            return true;
-                          });
+}
+
+// The cluster leader takes the machine back, for a team within its guarantee or because its work
+// fits on fewer machines: what runs here is stopped, saved and queued again. For the latter alone
+// (no next shard) no work is lost: what can't save runs on.
+void ReassignmentResponder::drain(const ShardMachine& machine, const MachineRecord& durable) {
+  const bool keep_progress = durable.next_shard < 0;
+  job_writer_.stop_tasks(machine, [&](const JobRecord& job, const Placement& placement) {
+    const bool would_lose_work = job.spec.kind != JobKind::service && job.spec.checkpoint_s <= 0;
+    return !placement.stopping && !(keep_progress && would_lose_work);
+  });
+}
+
+// A machine that is empty now and still when the write leaves is released or moved; any other is
+// kept.
+void ReassignmentResponder::write_answer(const ShardMachine& asked) {
+  const bool was_empty = asked.placed.empty();
+  const auto answer = [this, was_empty, id = asked.id](MachineRecord& record) {
+    if (record.phase != MachinePhase::reassignment_requested) return false;
+    const ShardMachine* machine = state_.find_machine(id);
+    record.drain = false;
+    if (was_empty && machine && machine->placed.empty()) {
+      if (record.next_shard < 0) {
+        record.phase = MachinePhase::released;
+        return true;
+      }
+      record.shard = record.next_shard;
+    }
+    record.phase = MachinePhase::assigned;
+    record.next_shard = -1;
+    return true;
+  };
+  machine_writer_.enqueue(asked.id, WriteCause::machine_reassignment_answer, answer);
 }
 
 }  // namespace rushtrestle::coordination
