--- a/src/coordination/shard/machine_health.h
+++ b/src/coordination/shard/machine_health.h
@@ -1,8 +1,10 @@
 // Finds machines that are lost, faulty or unreachable, and marks them for deletion.
 //
 // Invariant: a machine is given up only for a silence that peers don't contradict or that lasts
-// very long, and only a few at a time: a cut of the network must not cost a zone's machines.
+// very long, and only a few at a time: a partition of the network must not cost a zone's machines.
+// Called by ShardController, in rounds over all machines.
 #pragma once
+#include <algorithm>
 #include <map>
 #include <string>
 #include <vector>
@@ -29,6 +31,7 @@
 
   /// Counts the silent machines of each zone; to be called before a round of `check`.
   void count_silent();
+  /// Probes the machine if it is silent, and marks it for deletion if it is given up.
   void check(ShardMachine& machine);
 
  private:
@@ -36,6 +39,30 @@
     int machines = 0;
     int silent = 0;
   };
+  /// How long a machine has not been reached or heard, and which limits that exceeds.
+  struct Reachability {
+    /// Since the last newer heartbeat, however it came.
+    double silent_s = 0;
+    /// For how long it has been heard though commands fail.
+    double unreachable_s = 0;
+    /// Since the last heartbeat that the worker sent by itself.
+    double unreported_s = 0;
+    bool silent = false;
+    bool unreachable = false;
+    bool reaches_no_controller = false;
+
+    bool lost() const { return silent || unreachable || reaches_no_controller; }
+    double longest_s() const { return std::max({silent_s, unreachable_s, unreported_s}); }
+  };
+
+  void check_boot(ShardMachine& machine, const store::MachineRecord& durable);
+  void check_reachability(ShardMachine& machine);
+  bool proven_faulty(const ShardMachine& machine) const;
+  Reachability reachability_of(const ShardMachine& machine) const;
+  bool reached_through_peers(const ShardMachine& machine, const Reachability& reachability) const;
+  bool suspected_partition(const ShardMachine& machine, const Reachability& reachability) const;
+  /// Fewer machines than the limit were marked for deletion of late because of silence.
+  bool deletion_budget_left();
   bool correlated_silence(const ShardMachine& machine) const;
   void mark_for_deletion(ShardMachine& machine, const std::string& reason);
 
