--- a/src/coordination/shard/command_dispatcher.cpp
+++ b/src/coordination/shard/command_dispatcher.cpp
@@ -2,14 +2,21 @@
 
 #include <algorithm>
 #include <utility>
+#include <vector>
 
 namespace rushtrestle::coordination {
 
 using store::MachineRecord;
 
+namespace {
+// The statuses under which a worker answers a command with a heartbeat.
+constexpr int kOk = 200;
+constexpr int kConflict = 409;  // it has seen a higher fencing token or has another agent epoch
+}  // namespace
+
 // In turn by id, a bounded number in a batch: with little processor time the commands to all
-// machines of a shard that was just taken over took seconds, in which no renewal of the lease left,
-// and the shard was lost again.
+// machines of a shard that was just acquired took seconds, in which no renewal of the lease was
+// sent, and the shard was lost again.
 void CommandDispatcher::dispatch_due_commands() {
   constexpr size_t kMostInABatch = 16;
   dispatch_queue_.advance(context_.now);
@@ -18,14 +25,15 @@
     if (commands_in_flight_ >= context_.tunables.command_slots) return;
     last_commanded_ = id;
     dispatch_queue_.remove(id);
-    ShardMachine* m = state_.find_machine(id);
-    if (!m) continue;
-    if (has_command_slot(*m)) {
-      dispatch_commands(*m);
-      // Still something to do later: a pause is over, or an answer outstanding.
-      if (m->dispatch_wanted && !m->command_in_flight && context_.now < m->next_dispatch)
-        dispatch_queue_.add_later(id, m->next_dispatch);
-    } else if (!m->command_in_flight) {
+    ShardMachine* machine = state_.find_machine(id);
+    if (!machine) continue;
+    if (has_command_slot(*machine)) {
+      dispatch_commands(*machine);
+      // Still something to do later: when a pause is over.
+      if (machine->dispatch_wanted && !machine->command_in_flight &&
+          context_.now < machine->next_dispatch)
+        dispatch_queue_.add_later(id, machine->next_dispatch);
+    } else if (!machine->command_in_flight) {
       dispatch_queue_.add_later(id, context_.now + context_.tunables.probe_every_s / 4);
     }
   }
@@ -33,68 +41,80 @@
 
 // Each command that waits for its answer takes a socket, and a machine that is gone gives none
 // until the time-out. With a command to each machine of a lost zone at once no socket was left for
-// the state service, whose lease lapsed, and commands that had found no socket were taken for
-// machines that don't answer.
-bool CommandDispatcher::has_command_slot(const ShardMachine& m) const {
+// the state store, whose lease expired, and commands that had found no socket were counted against
+// machines as not answered.
+bool CommandDispatcher::has_command_slot(const ShardMachine& machine) const {
   if (commands_in_flight_ >= context_.tunables.command_slots) return false;
-  return m.commands_failing_since == 0 ||
+  return machine.commands_failing_since == 0 ||
          silent_commands_in_flight_ < context_.tunables.silent_command_slots;
 }
 
-void CommandDispatcher::dispatch_commands(ShardMachine& m) {
-  if (m.command_in_flight || context_.now < m.next_dispatch || !membership_.may_renew_workers())
+void CommandDispatcher::dispatch_commands(ShardMachine& machine) {
+  if (machine.command_in_flight || context_.now < machine.next_dispatch ||
+      !membership_.may_renew_workers())
     return;
-  const auto* record = state_cache_.machine(m.id);
-  if (!record || m.address.empty() || record->record.terminating()) return;
-  bool has_start = false;
-  auto commands = reconciler_.reconcile(m, has_start);
-  const bool fence = m.highest_token_seen < state_.fencing_token(m);
-  if (commands.empty() && !m.dispatch_wanted && !(fence && m.known)) return;
-  send_commands(m, std::move(commands), has_start);
+  const auto* durable = state_cache_.machine(machine.id);
+  if (!durable || machine.address.empty() || durable->record.terminating()) return;
+  WorkerCommands reconciled = reconciler_.reconcile(machine);
+  // The worker has not seen our fencing token yet, so a former shard leader's commands still pass.
+  const bool fencing_wanted =
+      machine.known && machine.highest_token_seen < state_.fencing_token(machine);
+  if (reconciled.commands.empty() && !machine.dispatch_wanted && !fencing_wanted) return;
+  send_commands(machine, std::move(reconciled));
 }
 
-void CommandDispatcher::send_commands(ShardMachine& m, std::vector<WorkerCommand> commands,
-                                      bool has_start) {
-  m.dispatch_wanted = false;
-  m.command_in_flight = true;
+void CommandDispatcher::send_commands(ShardMachine& machine, WorkerCommands&& reconciled) {
+  machine.dispatch_wanted = false;
+  machine.command_in_flight = true;
   context_.counters["direct_commands"]++;
-  const uint64_t used_token = state_.fencing_token(m);
-  const bool silent = m.commands_failing_since > 0;
+  const SentCommands sent{machine.id, state_.fencing_token(machine), reconciled.has_start};
+  const bool silent = machine.commands_failing_since > 0;
   ++commands_in_flight_;
   if (silent) ++silent_commands_in_flight_;
-  PushCommands c{m.address, used_token, m.agent_epoch, std::move(commands)};
-  context_.call(std::move(c), context_.tunables.command_timeout_s,
-                [this, id = m.id, used_token, has_start, silent](CallDone&& d) {
+  context_.call(PushCommands{machine.address, sent.fencing_token, machine.agent_epoch,
+                             std::move(reconciled.commands)},
+                context_.tunables.command_timeout_s, [this, sent, silent](CallDone&& done) {
                   --commands_in_flight_;
                   if (silent) --silent_commands_in_flight_;
-                  commands_answered(id, used_token, has_start, d);
+                  on_commands_done(sent, done);
                 });
 }
 
-void CommandDispatcher::commands_answered(const std::string& id, uint64_t used_token,
-                                          bool has_start, const CallDone& d) {
-  ShardMachine* mine = state_.find_machine(id);
-  if (!mine) return;
-  mine->command_in_flight = false;
-  const auto* heartbeat = std::get_if<Heartbeat>(&d.reply);
-  if ((d.status == 200 || d.status == 409) && heartbeat && heartbeat->machine == id) {
-    mine->commands_failing_since = 0;
-    intake_.apply(*mine, *heartbeat);
-    dispatch_queue_.add(id);
-    if (d.status == 409 && heartbeat->fencing_token > state_.fencing_token(*mine))
-      mine->next_dispatch = context_.now + context_.tunables.probe_every_s;
-    // The worker hears us again: a new fencing token shuts out what is still under way.
-    if (mine->unacknowledged_start != 0)
-      machine_writer_.enqueue(id, WriteCause::other, [](MachineRecord&) { return true; });
+void CommandDispatcher::on_commands_done(const SentCommands& sent, const CallDone& done) {
+  ShardMachine* machine = state_.find_machine(sent.machine);
+  if (!machine) return;
+  machine->command_in_flight = false;
+  const auto* heartbeat = std::get_if<Heartbeat>(&done.reply);
+  const bool answered = done.status == kOk || done.status == kConflict;
+  if (answered && heartbeat && heartbeat->machine == sent.machine) {
+    on_commands_answered(*machine, *heartbeat, done.status);
   } else {
-    if (has_start) mine->unacknowledged_start = std::max(mine->unacknowledged_start, used_token);
-    if (mine->commands_failing_since == 0) {
-      mine->commands_failing_since = context_.now;
-      mine->epoch_when_unreachable = mine->agent_epoch;
-    }
-    mine->next_dispatch = context_.now + context_.jitter(context_.tunables.probe_every_s);
-    mine->dispatch_wanted = true;
+    on_commands_failed(*machine, sent);
+  }
+}
+
+void CommandDispatcher::on_commands_answered(ShardMachine& machine, const Heartbeat& heartbeat,
+                                             int status) {
+  machine.commands_failing_since = 0;
+  intake_.apply(machine, heartbeat);
+  dispatch_queue_.add(machine.id);
+  if (status == kConflict && heartbeat.fencing_token > state_.fencing_token(machine))
+    machine.next_dispatch = context_.now + context_.tunables.probe_every_s;
+  // The worker can be reached again: a write of its record, whatever it says, gives a new fencing
+  // token, under which it drops the start that may still be in flight.
+  if (machine.unacknowledged_start != 0)
+    machine_writer_.enqueue(machine.id, WriteCause::other, [](MachineRecord&) { return true; });
+}
+
+void CommandDispatcher::on_commands_failed(ShardMachine& machine, const SentCommands& sent) {
+  if (sent.has_start)
+    machine.unacknowledged_start = std::max(machine.unacknowledged_start, sent.fencing_token);
+  if (machine.commands_failing_since == 0) {
+    machine.commands_failing_since = context_.now;
+    machine.epoch_when_unreachable = machine.agent_epoch;
   }
+  machine.next_dispatch = context_.now + context_.jitter(context_.tunables.probe_every_s);
+  machine.dispatch_wanted = true;
 }
 
 double CommandDispatcher::next_due() const {
--- a/src/coordination/shard/heartbeat_handler.h
+++ b/src/coordination/shard/heartbeat_handler.h
@@ -3,8 +3,9 @@
 //
 // Invariant: an answer renews the worker's lease only if Membership::may_renew_workers (or, without
 // the state store, may_renew_while_disconnected) holds, and then carries a stop for each cancelled
-// task that the worker reports.
+// task that the worker reports. Called by the core for each heartbeat.
 #pragma once
+#include <cstdint>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -29,8 +30,11 @@
         intake_(intake),
         reconciler_(reconciler) {}
 
+  /// One that a worker sent here. It is answered with AnswerHeartbeat, now or when the shard leader
+  /// has answered.
   void handle_heartbeat(RequestId request, Heartbeat&& heartbeat);
-  /// One that a worker sent to another controller, which can't answer it.
+  /// One that a worker sent to another controller, which does not lead the machine's shard. It is
+  /// answered with AnswerForwardedHeartbeat.
   void handle_forwarded_heartbeat(RequestId request, const Heartbeat& heartbeat);
   /// Machines that sent heartbeats here lately though another controller leads their shard.
   std::vector<std::string> machines_heard_of_other_shards() const;
@@ -38,9 +42,21 @@
   void forget_old();
 
  private:
-  HeartbeatResponse respond(const Heartbeat& heartbeat, bool forwarded);
+  enum class HeartbeatSource { worker, other_controller };
+
+  void answer(RequestId request, HeartbeatResponse&& response);
+  HeartbeatResponse respond(const Heartbeat& heartbeat, HeartbeatSource source);
+  std::vector<WorkerCommand> apply_and_reconcile(ShardMachine& machine, const Heartbeat& heartbeat,
+                                                 HeartbeatSource source);
+  /// True: answered, or forwarded to the shard leader, with whose answer it is answered later; only
+  /// then the heartbeat may be moved from. False: to be answered here.
   bool forward(RequestId request, Heartbeat& heartbeat);
+  uint64_t leaders_token(int shard, const std::string& machine) const;
+  bool redirect_to_relay_peer(RequestId request, const Heartbeat& heartbeat,
+                              const std::string& shard_leader);
+  void send_to_leader(RequestId request, Heartbeat&& heartbeat, const std::string& address);
   bool keep_alive(RequestId request, const Heartbeat& heartbeat);
+  HeartbeatResponse renew_under_own_token(const Heartbeat& heartbeat) const;
   std::vector<WorkerCommand> stops_of_cancelled(const Heartbeat& heartbeat) const;
 
   Context& context_;
@@ -51,8 +67,10 @@
   DispatchQueue& dispatch_queue_;
   HeartbeatIntake& intake_;
   TaskReconciler& reconciler_;
-  std::unordered_map<std::string, double> last_heard_at_;     // by machine
-  std::unordered_map<std::string, double> forwarding_since_;  // by machine
+  /// By machine, of whichever shard.
+  std::unordered_map<std::string, double> last_heard_at_;
+  /// By machine, of shards that other controllers lead.
+  std::unordered_map<std::string, double> forwarding_since_;
   size_t forwards_in_flight_ = 0;
 };
 
--- a/src/coordination/shard/task_reconciler.cpp
+++ b/src/coordination/shard/task_reconciler.cpp
@@ -1,6 +1,7 @@
 #include "coordination/shard/task_reconciler.h"
 
 #include <algorithm>
+#include <string>
 
 #include "coordination/scheduling/gang_lifecycle.h"
 
@@ -12,173 +13,203 @@
 namespace {
 
 // Somebody waits for a job to be done, and the end of a gang's attempt must not be unknown to the
-// next shard leader. Other ends wait for more of the same record: the worker keeps what has ended
-// until the end is durable, so nothing is lost with us.
-WriteCause cause_of_end(const ShardJob& j) {
-  if (j.desired.status == JobStatus::done) return WriteCause::job_done;
-  return j.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase : WriteCause::task_end;
+// next shard leader. Other ends wait for more changes of the same record: the worker keeps what has
+// ended until the end is durable, so nothing is lost if this controller fails.
+WriteCause cause_of_end(const ShardJob& job) {
+  if (job.desired.status == JobStatus::done) return WriteCause::job_done;
+  return job.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase : WriteCause::task_end;
+}
+
+// The worker did not take up the task, so that it never joined its attempt.
+bool start_refused(ExitCause cause) {
+  return cause == ExitCause::no_room || cause == ExitCause::busy || cause == ExitCause::unknown;
+}
+
+WorkerCommand command_for(WorkerVerb verb, const ReportedTask& reported, double grace_s = 0) {
+  return {verb, reported.job, reported.task, reported.attempt, grace_s};
 }
 
 }  // namespace
 
-std::vector<WorkerCommand> TaskReconciler::reconcile(ShardMachine& m, bool& has_start) {
-  std::vector<WorkerCommand> commands;
-  has_start = false;
-  if (!m.known) return commands;
+WorkerCommands TaskReconciler::reconcile(ShardMachine& machine) {
+  WorkerCommands result;
+  if (!machine.known) return result;
   std::set<TaskKey> present;
-  for (const auto& t : m.reported) {
-    const TaskKey key{t.job, t.task};
-    const auto placed = m.placed.find(key);
-    ShardJob* j = state_.find_job(t.job);
-    if (j && placed != m.placed.end() && placed->second == t.attempt) {
-      present.insert(key);
-      if (t.state == TaskState::exited) {
-        task_ended(m, *j, t);
-      } else {
-        update_task(*j, t, commands);
-      }
+  for (const auto& reported : machine.reported) {
+    const TaskKey key{reported.job, reported.task};
+    const auto placed = machine.placed.find(key);
+    ShardJob* job = state_.find_job(reported.job);
+    if (!job || placed == machine.placed.end() || placed->second != reported.attempt) {
+      stop_unexpected_task(machine, reported, result);
+      continue;
+    }
+    present.insert(key);
+    if (reported.state == TaskState::exited) {
+      task_ended(machine, *job, reported);
     } else {
-      stop_unexpected_task(m, t, commands);
+      update_task(*job, reported, result);
     }
   }
-  has_start = start_missing_tasks(m, present, commands);
-  return commands;
+  start_missing_tasks(machine, present, result);
+  return result;
 }
 
 // A task that is placed on the machine and is there.
-void TaskReconciler::update_task(ShardJob& j, const ReportedTask& t,
-                                 std::vector<WorkerCommand>& commands) {
-  for (auto& p : j.desired.placed) {
-    if (p.task != t.task) continue;
-    if (t.state == TaskState::running && !p.running) {
-      p.running = true;
-      j.desired.last_start = context_.wall;
-      log_first_run(j);
-      job_writer_.enqueue(t.job, j.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase
-                                                                      : WriteCause::running_mark);
+void TaskReconciler::update_task(ShardJob& job, const ReportedTask& reported,
+                                 WorkerCommands& result) {
+  for (auto& placement : job.desired.placed) {
+    if (placement.task != reported.task) continue;
+    if (reported.state == TaskState::running && !placement.running) {
+      placement.running = true;
+      job.desired.last_start = context_.wall;
+      log_first_run(job);
+      job_writer_.enqueue(reported.job, job.desired.spec.kind == JobKind::gang
+                                            ? WriteCause::gang_phase
+                                            : WriteCause::running_mark);
     }
-    const auto* durable = state_cache_.job(t.job);
-    const auto* d = durable ? durable->record.same_placement(p) : nullptr;
-    if (j.desired.status == JobStatus::cancelled) {
-      commands.push_back({WorkerVerb::stop, t.job, t.task, t.attempt, 0});
-    } else if (p.stopping && d && d->stopping && t.state != TaskState::saving) {
-      // Only once the commit is durable.
-      commands.push_back({WorkerVerb::stop, t.job, t.task, t.attempt, stop_grace_s(j.desired)});
+    const auto* durable = state_cache_.job(reported.job);
+    const auto* durable_placement = durable ? durable->record.same_placement(placement) : nullptr;
+    // A stop is sent only once the decision is durable.
+    const bool stop_is_durable =
+        placement.stopping && durable_placement && durable_placement->stopping;
+    if (job.desired.status == JobStatus::cancelled) {
+      result.commands.push_back(command_for(WorkerVerb::stop, reported));
+    } else if (stop_is_durable && reported.state != TaskState::saving) {
+      result.commands.push_back(command_for(WorkerVerb::stop, reported, stop_grace_s(job.desired)));
     }
   }
 }
 
-// A task that is not placed on the machine (any more). While the record still says so, it is left
-// alone.
-void TaskReconciler::stop_unexpected_task(const ShardMachine& m, const ReportedTask& t,
-                                          std::vector<WorkerCommand>& commands) const {
-  const auto* durable = state_cache_.job(t.job);
-  const auto* d = durable ? durable->record.placement_of(t.task) : nullptr;
-  const bool cancelled_runs = t.state != TaskState::exited && state_cache_.cancelled(t.job);
-  if (d && d->machine == m.id && d->attempt == t.attempt && !cancelled_runs) return;
-  if (t.state != TaskState::exited) {
-    commands.push_back({WorkerVerb::stop, t.job, t.task, t.attempt, 0});
-  } else if (m.unacknowledged_start == 0 && m.highest_token_seen >= state_.fencing_token(m)) {
-    // A start of this attempt that may still arrive would run it again after this.
-    commands.push_back({WorkerVerb::forget, t.job, t.task, t.attempt, 0});
+// A task that is not placed on the machine, or not any more. While the durable record still places
+// it there, it is left alone.
+void TaskReconciler::stop_unexpected_task(const ShardMachine& machine, const ReportedTask& reported,
+                                          WorkerCommands& result) const {
+  const bool ended = reported.state == TaskState::exited;
+  const auto* durable = state_cache_.job(reported.job);
+  const auto* placement = durable ? durable->record.placement_of(reported.task) : nullptr;
+  const bool durably_placed =
+      placement && placement->machine == machine.id && placement->attempt == reported.attempt;
+  const bool cancelled_runs = !ended && state_cache_.cancelled(reported.job);
+  if (durably_placed && !cancelled_runs) return;
+  if (!ended) {
+    result.commands.push_back(command_for(WorkerVerb::stop, reported));
+  } else if (no_earlier_start_can_arrive(machine)) {
+    // Otherwise a start of this attempt that arrives after the worker forgot it would run it again.
+    result.commands.push_back(command_for(WorkerVerb::forget, reported));
   }
 }
 
+// No start is unacknowledged, and the worker has seen the current fencing token, under which it
+// drops commands of former shard leaders.
+bool TaskReconciler::no_earlier_start_can_arrive(const ShardMachine& machine) const {
+  return machine.unacknowledged_start == 0 &&
+         machine.highest_token_seen >= state_.fencing_token(machine);
+}
+
 // Tasks that are placed on the machine and not there: started, or, if they were to be stopped,
 // known to be gone.
-bool TaskReconciler::start_missing_tasks(ShardMachine& m, const std::set<TaskKey>& present,
-                                         std::vector<WorkerCommand>& commands) {
-  // Absence counts only in a heartbeat given under our fencing token, with no command of ours under
-  // way.
-  const bool absence_counts = m.unacknowledged_start == 0 &&
-                              m.highest_token_seen >= state_.fencing_token(m) &&
-                              !m.command_in_flight;
-  const bool may_start = may_act(state_store_) && state_.sends_heartbeats(m);
-  bool has_start = false;
+void TaskReconciler::start_missing_tasks(ShardMachine& machine, const std::set<TaskKey>& present,
+                                         WorkerCommands& result) {
+  // Absence counts only in a heartbeat given under our fencing token, with no command of ours in
+  // flight: a start that arrives later would run the task after it was taken for gone.
+  const bool absence_counts = no_earlier_start_can_arrive(machine) && !machine.command_in_flight;
+  // Not on a machine that reaches no controller, though our commands reach it: its lease would soon
+  // end the task again.
+  const bool may_start = may_act(state_store_) && state_.sends_heartbeats(machine);
   std::vector<TaskKey> gone;
-  for (const auto& [key, attempt] : m.placed) {
+  for (const auto& [key, attempt] : machine.placed) {
     if (present.count(key)) continue;
-    ShardJob* j = state_.find_job(key.first);
-    if (!j) continue;
-    const auto* p = j->desired.placement_of(key.second);
+    const ShardJob* job = state_.find_job(key.first);
+    if (!job) continue;
+    const auto* placement = job->desired.placement_of(key.second);
     const auto* durable = state_cache_.job(key.first);
-    if (!p || !durable || !durable->record.same_placement(*p)) continue;  // not durable yet
-    if (j->desired.status != JobStatus::open || p->stopping) {
+    const bool placement_durable =
+        placement && durable && durable->record.same_placement(*placement);
+    if (!placement_durable) continue;
+    if (job->desired.status != JobStatus::open || placement->stopping) {
       if (absence_counts) gone.push_back(key);
     } else if (may_start && durable->record.status == JobStatus::open &&
-               durable->mod_revision != j->unsettled_revision) {
-      // Not on a machine that reaches no controller, though our commands reach it: its lease would
-      // soon end it again.
-      commands.push_back({WorkerVerb::start, key.first, key.second, attempt, 0});
-      has_start = true;
+               durable->mod_revision != job->unsettled_revision) {
+      result.commands.push_back({WorkerVerb::start, key.first, key.second, attempt, 0});
+      result.has_start = true;
     }
   }
+  unbind_gone(gone);
+}
+
+void TaskReconciler::unbind_gone(const std::vector<TaskKey>& gone) {
   for (const auto& [job_id, task] : gone) {
-    if (ShardJob* j = state_.find_job(job_id)) {
-      state_.unbind(*j, task);
-      job_writer_.enqueue(job_id, cause_of_end(*j));
-    }
+    ShardJob* job = state_.find_job(job_id);
+    if (!job) continue;
+    state_.unbind(*job, task);
+    job_writer_.enqueue(job_id, cause_of_end(*job));
   }
-  return has_start;
 }
 
-void TaskReconciler::task_ended(ShardMachine& m, ShardJob& j, const ReportedTask& t) {
-  const std::string id = j.desired.spec.id;
-  state_.unbind(j, t.task);
-  // A member that was refused never joined its attempt, and is replaced. Any other end is the end
-  // of the attempt: it stands in the record, as a new shard leader would else add members that wait
-  // in vain.
-  const bool never_joined =
-      t.cause == ExitCause::no_room || t.cause == ExitCause::busy || t.cause == ExitCause::unknown;
-  if (!never_joined) end_attempt(j.desired);
-  switch (t.cause) {
-    case ExitCause::done:
-      if (j.desired.spec.kind == JobKind::array) j.desired.done.insert(t.task);
-      // The tasks of a gang complete together: what a lost machine could not tell any more is done,
-      // too.
-      if (j.desired.spec.kind == JobKind::gang)
-        for (uint32_t task = 0; task < j.desired.spec.tasks; ++task) j.desired.done.insert(task);
-      state_.update_pending(j);
-      m.failed_jobs.clear();
-      failures_.judge(m);
-      j.failed_on.clear();
-      j.backoff_level = 0;
-      break;
-    case ExitCause::error: failures_.task_failed(m, j); break;
+void TaskReconciler::task_ended(ShardMachine& machine, ShardJob& job,
+                                const ReportedTask& reported) {
+  const std::string id = job.desired.spec.id;
+  state_.unbind(job, reported.task);
+  // A member whose start was refused never joined its attempt, and is replaced. Any other end is
+  // the end of the attempt: it stands in the record, as a new shard leader would otherwise add
+  // members that wait in vain.
+  if (!start_refused(reported.cause)) end_attempt(job.desired);
+  switch (reported.cause) {
+    case ExitCause::done: task_completed(machine, job, reported.task); break;
+    case ExitCause::error: failures_.task_failed(machine, job); break;
     case ExitCause::no_room:
     case ExitCause::busy:
     case ExitCause::unknown:
-      context_.info("start refused: " + id + "/" + std::to_string(t.task) + " on " + m.id +
-                    " cause " + std::to_string(static_cast<int>(t.cause)));
-      j.retry_at = context_.now + context_.settings.heartbeat_interval_s / 2;
+      context_.info("start_refused job=" + id + " task=" + std::to_string(reported.task) +
+                    " machine=" + machine.id +
+                    " cause=" + std::to_string(static_cast<int>(reported.cause)));
+      job.retry_at = context_.now + context_.settings.heartbeat_interval_s / 2;
       break;
     case ExitCause::stopped:
     case ExitCause::none: break;
   }
-  if (j.desired.status == JobStatus::open && j.desired.spec.kind != JobKind::service &&
-      j.desired.done.size() == j.desired.spec.tasks)
-    j.desired.status = JobStatus::done;
-  job_writer_.enqueue(id, cause_of_end(j));
+  if (job.desired.status == JobStatus::open && job.desired.spec.kind != JobKind::service &&
+      job.desired.done.size() == job.desired.spec.tasks)
+    job.desired.status = JobStatus::done;
+  job_writer_.enqueue(id, cause_of_end(job));
+}
+
+void TaskReconciler::task_completed(ShardMachine& machine, ShardJob& job, uint32_t task) {
+  auto& done = job.desired.done;
+  if (job.desired.spec.kind == JobKind::array) done.insert(task);
+  // The members of a gang complete together: one whose machine was lost before it reported its end
+  // is done, too.
+  if (job.desired.spec.kind == JobKind::gang)
+    for (uint32_t member = 0; member < job.desired.spec.tasks; ++member) done.insert(member);
+  state_.update_pending(job);
+  machine.failed_jobs.clear();
+  failures_.judge(machine);
+  job.failed_on.clear();
+  job.backoff_level = 0;
 }
 
-// One line a job: where the time went until all its tasks ran.
-void TaskReconciler::log_first_run(ShardJob& j) {
-  if (j.first_run.adopted_at == 0 || j.first_run.whole_at != 0 ||
-      j.desired.running() + j.desired.done.size() < j.desired.spec.tasks)
+// One line a job: where the time went until all its tasks ran. Times in milliseconds; `seen_ms`
+// since the job's acceptance, the others since this controller took it up.
+void TaskReconciler::log_first_run(ShardJob& job) {
+  FirstRunTimes& times = job.first_run;
+  const store::JobRecord& record = job.desired;
+  if (times.adopted_at == 0 || times.whole_at != 0 ||
+      record.running() + record.done.size() < record.spec.tasks)
     return;
-  j.first_run.whole_at = context_.now;
+  times.whole_at = context_.now;
   if (!context_.logs(LogLine::Level::debug)) return;
-  const auto ms = [&](double at) {
-    return std::to_string(static_cast<int>(std::max(0.0, at - j.first_run.adopted_at) * 1000));
+  const auto whole_ms = [](double seconds) {
+    return std::to_string(static_cast<int>(seconds * 1000));
   };
+  const auto ms_until = [&](double at) { return whole_ms(std::max(0.0, at - times.adopted_at)); };
+  const double seen_after_s = context_.wall - record.submitted - (context_.now - times.adopted_at);
   context_.debug(
-      "job " + j.desired.spec.id + " of " + j.desired.spec.job_class + " runs whole: seen " +
-      std::to_string(static_cast<int>(
-          (context_.wall - j.desired.submitted - (context_.now - j.first_run.adopted_at)) * 1000)) +
-      " ms after its acceptance, then placed after " + ms(j.first_run.first_placed_at) + " to " +
-      ms(j.first_run.last_placed_at) + ", written " + ms(j.first_run.first_written_at) +
-      ", running " + ms(context_.now) + "; " + std::to_string(j.first_run.image_fetches) + " of " +
-      std::to_string(j.desired.spec.tasks) + " tasks without their image");
+      "job_running_whole job=" + record.spec.id + " class=" + record.spec.job_class +
+      " seen_ms=" + whole_ms(seen_after_s) + " first_placed_ms=" + ms_until(times.first_placed_at) +
+      " last_placed_ms=" + ms_until(times.last_placed_at) +
+      " written_ms=" + ms_until(times.first_written_at) + " running_ms=" + ms_until(context_.now) +
+      " image_fetches=" + std::to_string(times.image_fetches) +
+      " tasks=" + std::to_string(record.spec.tasks));
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/task_reconciler.h
+++ b/src/coordination/shard/task_reconciler.h
@@ -1,5 +1,5 @@
-// Compares what a machine reports with what is placed on it, and says which commands bring the two
-// together.
+// Compares what a machine reports with what is placed on it, and gives the commands that bring the
+// two together. Called by HeartbeatHandler and CommandDispatcher.
 //
 // Invariant: a task is started only if its placement is durable and the job open; a task that
 // should not run counts as gone only when its absence is proven (start_missing_tasks), and a worker
@@ -13,6 +13,12 @@
 
 namespace rushtrestle::coordination {
 
+struct WorkerCommands {
+  std::vector<WorkerCommand> commands;
+  /// One of them is a start.
+  bool has_start = false;
+};
+
 class TaskReconciler {
  public:
   TaskReconciler(Context& context, store::StateCache& state_cache,
@@ -25,16 +31,20 @@
         job_writer_(job_writer),
         failures_(failures) {}
 
-  /// The commands for the machine as it last reported. `has_start`: one of them is a start.
-  std::vector<WorkerCommand> reconcile(ShardMachine& machine, bool& has_start);
+  /// Applies what the machine last reported to its tasks' jobs, and returns the commands that the
+  /// worker needs. None before its first heartbeat.
+  WorkerCommands reconcile(ShardMachine& machine);
 
  private:
-  void update_task(ShardJob& job, const ReportedTask& task, std::vector<WorkerCommand>& commands);
-  void stop_unexpected_task(const ShardMachine& machine, const ReportedTask& task,
-                            std::vector<WorkerCommand>& commands) const;
-  bool start_missing_tasks(ShardMachine& machine, const std::set<TaskKey>& present,
-                           std::vector<WorkerCommand>& commands);
-  void task_ended(ShardMachine& machine, ShardJob& job, const ReportedTask& task);
+  void update_task(ShardJob& job, const ReportedTask& reported, WorkerCommands& result);
+  void stop_unexpected_task(const ShardMachine& machine, const ReportedTask& reported,
+                            WorkerCommands& result) const;
+  bool no_earlier_start_can_arrive(const ShardMachine& machine) const;
+  void start_missing_tasks(ShardMachine& machine, const std::set<TaskKey>& present,
+                           WorkerCommands& result);
+  void unbind_gone(const std::vector<TaskKey>& gone);
+  void task_ended(ShardMachine& machine, ShardJob& job, const ReportedTask& reported);
+  void task_completed(ShardMachine& machine, ShardJob& job, uint32_t task);
   void log_first_run(ShardJob& job);
 
   Context& context_;
