--- a/src/coordination/preemption/nomination.h
+++ b/src/coordination/preemption/nomination.h
@@ -1,5 +1,5 @@
-// The eligibility rule of the Expected Runtime design, by itself so that each of its
-// cases can be tested.
+// Nomination of the Expected Runtime design: which running jobs a scan may try to requeue. A pure
+// function, so that each of its cases can be tested. Called by the requeue action.
 #pragma once
 #include <string>
 
@@ -7,9 +7,10 @@
 
 namespace rushtrestle::coordination {
 
-/// Why a job is not nominated at time of day `wall`; empty: it is. The words are the paper's,
-/// but for `not_due`, which the paper has no counter for.
-std::string nomination_skip_reason(const store::JobRecord& r, double wall,
+/// Why the job is not nominated at time of day `wall` (seconds); empty: it is nominated.
+/// `clock_error_s` bounds the error of each controller's clock. The reasons are the design's and
+/// are part of counter names, except for `not_due`, for which the design has no counter.
+std::string nomination_skip_reason(const store::JobRecord& job, double wall,
                                    const store::OperatorSettings& operators, double clock_error_s);
 
 }  // namespace rushtrestle::coordination
