--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -1,4 +1,4 @@
-// What has arrived of late, by shard and class, and what is to be expected from that.
+// Recent arrivals of jobs by shard and class, and the arrivals that follow from them.
 #pragma once
 #include <deque>
 #include <map>
@@ -20,7 +20,7 @@
       : context_(context), state_cache_(state_cache), membership_(membership) {}
 
   void on_job_changed(const std::string& id);
-  /// What will come while a machine boots: the arrivals of late in that time, plus one deviation.
+  /// What will come while a machine boots: the recent rate over that time, plus one deviation.
   std::vector<Forecast> expected(int shard) const;
 
  private:
--- a/src/coordination/scheduling/best_effort.cpp
+++ b/src/coordination/scheduling/best_effort.cpp
@@ -15,7 +15,7 @@
   if (!may_wait || !context.is_best_effort(spec.team) || starves(job, context.wall)) return false;
   const auto& objectives = context.settings.objectives;
   return std::none_of(objectives.begin(), objectives.end(),
-                      [&](const auto& o) { return o.job_class == spec.job_class; });
+                      [&](const auto& objective) { return objective.job_class == spec.job_class; });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/best_effort.h
+++ b/src/coordination/scheduling/best_effort.h
@@ -7,12 +7,12 @@
 namespace rushtrestle::coordination {
 
 /// Has the job waited so long (seconds of the time of day `wall`) without a first start that it
-/// should begin wherever it can? The users look after four minutes; this is half of that.
+/// should begin wherever it can? Users check after four minutes; this is half of that.
 bool starves(const store::JobRecord& job, double wall);
 
-/// Work of a guest that nobody has set a time for: the lowest rank, no deadline and no objective of
-/// its class. It uses spot machines and what is idle beside services; no ordinary machine is rented
-/// or kept for it. Not so once it starves.
+/// Best-effort work without any time limit: the lowest rank, no deadline and no objective of its
+/// class. It uses spot machines and what is idle beside services; no ordinary machine is
+/// provisioned or kept for it. Not so once it starves.
 bool takes_idle_room_only(const store::JobRecord& job, const Context& context);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_lifecycle.cpp
+++ b/src/coordination/scheduling/gang_lifecycle.cpp
@@ -12,7 +12,7 @@
 
 bool any_stopping(const JobRecord& job) {
   return std::any_of(job.placed.begin(), job.placed.end(),
-                     [](const Placement& p) { return p.stopping; });
+                     [](const Placement& placement) { return placement.stopping; });
 }
 
 }  // namespace
@@ -21,13 +21,13 @@
   if (gang.placed.empty()) return GangPhase::idle;
   if (any_stopping(gang)) return GangPhase::ending;
   const bool runs = std::any_of(gang.placed.begin(), gang.placed.end(),
-                                [](const Placement& p) { return p.running; });
+                                [](const Placement& placement) { return placement.running; });
   return runs ? GangPhase::running : GangPhase::gathering;
 }
 
 void end_attempt(JobRecord& job) {
   if (job.spec.kind != JobKind::gang) return;
-  for (auto& p : job.placed) p.stopping = true;
+  for (auto& placement : job.placed) placement.stopping = true;
 }
 
 void spread_stop(JobRecord& job) {
--- a/src/coordination/scheduling/gang_reservation.cpp
+++ b/src/coordination/scheduling/gang_reservation.cpp
@@ -7,28 +7,29 @@
 namespace {
 
 uint32_t tasks_in(const store::JobSpec& gang, store::Resources room) {
-  uint32_t n = 0;
-  for (; n < gang.tasks && gang.per_task.fits(room); room.add(gang.per_task, -1)) ++n;
-  return n;
+  uint32_t tasks = 0;
+  for (; tasks < gang.tasks && gang.per_task.fits(room); room.add(gang.per_task, -1)) ++tasks;
+  return tasks;
 }
 
 std::set<std::string> largest_first(const store::JobSpec& gang, const std::vector<RoomToCome>& room,
                                     const std::string* zone, size_t most) {
-  std::vector<std::pair<uint32_t, const RoomToCome*>> takes;
-  for (const auto& r : room) {
-    const bool allowed = (!zone || r.zone == *zone) && (!gang.zone || r.zone == *gang.zone) &&
-                         type_allowed(gang, r.type) && kind_allowed(gang, r.spot);
-    const uint32_t n = allowed ? tasks_in(gang, r.room) : 0;
-    if (n > 0) takes.emplace_back(n, &r);
+  std::vector<std::pair<uint32_t, const RoomToCome*>> capacities;  // tasks that fit on each machine
+  for (const auto& machine : room) {
+    const bool allowed = (!zone || machine.zone == *zone) &&
+                         (!gang.zone || machine.zone == *gang.zone) &&
+                         type_allowed(gang, machine.type) && kind_allowed(gang, machine.spot);
+    const uint32_t capacity = allowed ? tasks_in(gang, machine.room) : 0;
+    if (capacity > 0) capacities.emplace_back(capacity, &machine);
   }
-  std::stable_sort(takes.begin(), takes.end(),
+  std::stable_sort(capacities.begin(), capacities.end(),
                    [](const auto& a, const auto& b) { return a.first > b.first; });
   std::set<std::string> machines;
   uint32_t covered = 0;
-  for (const auto& [n, r] : takes) {
+  for (const auto& [capacity, machine] : capacities) {
     if (covered >= gang.tasks) break;
-    machines.insert(r->machine);
-    covered += n;
+    machines.insert(machine->machine);
+    covered += capacity;
   }
   if (covered < gang.tasks || machines.size() > most) return {};
   return machines;
--- a/src/coordination/scheduling/gang_reservation.h
+++ b/src/coordination/scheduling/gang_reservation.h
@@ -19,8 +19,8 @@
 
 /// A gang takes room only when all of it fits, so a stream of small jobs that takes each piece as
 /// it comes free would keep it waiting for ever. Nothing of the same or a lower rank is placed on
-/// the machines of a hold but its gang. One hold a shard, and not for ever: the rest of the shard
-/// goes on beside it.
+/// the reserved machines but the gang. One reservation a shard, and for a limited time: the rest of
+/// the shard goes on beside it.
 struct GangReservation {
   std::string job;
   store::Rank rank = store::Rank::low;
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -5,21 +5,24 @@
 
 namespace rushtrestle::coordination {
 
-using store::JobKind;
 using store::JobSpec;
 
+namespace {
+constexpr double kNoLimit = 1e9;  // tasks on a machine, for a task that takes nothing
+}  // namespace
+
 void ImageCaches::used(const std::string& machine, const std::string& image, double gb,
                        double cache_gb) {
   auto& cache = machines_[machine];
   const ImageId id = ids_.emplace(image, static_cast<ImageId>(ids_.size())).first->second;
-  const auto it =
-      std::find_if(cache.begin(), cache.end(), [&](const Cached& c) { return c.image == id; });
+  const auto it = std::find_if(cache.begin(), cache.end(),
+                               [&](const Cached& cached) { return cached.image == id; });
   if (it != cache.end()) {
     std::rotate(it, it + 1, cache.end());
     return;
   }
   double total = gb;
-  for (const auto& c : cache) total += c.gb;
+  for (const auto& cached : cache) total += cached.gb;
   while (!cache.empty() && total > cache_gb) {
     total -= cache.front().gb;
     cache.erase(cache.begin());
@@ -39,8 +42,8 @@
 
 namespace {
 bool holds(const ImageCaches::Cache* cache, std::optional<ImageCaches::ImageId> image) {
-  return cache && image && std::any_of(cache->begin(), cache->end(), [&](const auto& c) {
-           return c.image == *image;
+  return cache && image && std::any_of(cache->begin(), cache->end(), [&](const auto& cached) {
+           return cached.image == *image;
          });
 }
 }  // namespace
@@ -63,8 +66,8 @@
 bool zone_allowed(const JobSpec& spec, const std::string& zone, const ZoneCounts& placed) {
   if (spec.zone && *spec.zone != zone) return false;
   if (spec.one_zone)
-    for (const auto& [z, n] : placed)
-      if (n > 0 && z != zone) return false;
+    for (const auto& [other_zone, tasks] : placed)
+      if (tasks > 0 && other_zone != zone) return false;
   if (spec.spread) {
     const auto it = placed.find(zone);
     if ((it == placed.end() ? 0 : it->second) + 1 > (spec.tasks + 1) / 2) return false;
@@ -87,43 +90,47 @@
 
 std::string zones_shape(const ZoneCounts& placed) {
   std::string shape;
-  for (const auto& [zone, n] : placed) shape += "|" + zone + std::to_string(n);
+  for (const auto& [zone, tasks] : placed) shape += "|" + zone + std::to_string(tasks);
   return shape;
 }
 
 int capacity_for(const JobSpec& spec, const store::MachineType& type) {
-  double n = 1e9;
+  double tasks = kNoLimit;
   const auto limit = [&](double size, double per_task) {
-    if (per_task > 0) n = std::min(n, std::floor(size / per_task + store::Resources::kSlack));
+    if (per_task > 0)
+      tasks = std::min(tasks, std::floor(size / per_task + store::Resources::kSlack));
   };
   limit(type.size.cpus, spec.per_task.cpus);
   limit(type.size.gpus, spec.per_task.gpus);
   limit(type.size.memory_gb, spec.per_task.memory_gb);
-  return static_cast<int>(n);
+  return static_cast<int>(tasks);
 }
 
 double due_after_s(const JobSpec& spec, const store::Settings& settings) {
   if (spec.deadline_s) return *spec.deadline_s;
   double due = 0;
-  for (const auto& o : settings.objectives)
-    if (o.job_class == spec.job_class && o.within_s > 0 && o.kind != "wait")
-      due = due > 0 ? std::min(due, o.within_s) : o.within_s;
+  for (const auto& objective : settings.objectives)
+    if (objective.job_class == spec.job_class && objective.within_s > 0 && objective.kind != "wait")
+      due = due > 0 ? std::min(due, objective.within_s) : objective.within_s;
   return due > 0 ? due : 3 * spec.estimate_s;
 }
 
 double start_within_s(const JobSpec& spec, const store::Settings& settings) {
   double within = 0;
-  for (const auto& o : settings.objectives)
-    if (o.within_s > 0 &&
-        ((o.kind == "wait" && o.job_class == spec.job_class) || o.kind == "guarantee"))
-      within = within > 0 ? std::min(within, o.within_s) : o.within_s;
+  for (const auto& objective : settings.objectives)
+    if (objective.within_s > 0 &&
+        ((objective.kind == "wait" && objective.job_class == spec.job_class) ||
+         objective.kind == "guarantee"))
+      within = within > 0 ? std::min(within, objective.within_s) : objective.within_s;
   return within;
 }
 
-bool can_wait_for_spot(const store::JobRecord& r, const store::Settings& settings, double wall) {
-  if (!r.spec.spot) return false;
-  // Guesses are often wrong by half.
-  return wall < r.submitted + (due_after_s(r.spec, settings) - 1.5 * r.spec.estimate_s) / 2;
+bool can_wait_for_spot(const store::JobRecord& record, const store::Settings& settings,
+                       double wall) {
+  if (!record.spec.spot) return false;
+  // Estimates are often wrong by half.
+  const double longest_run_s = 1.5 * record.spec.estimate_s;
+  return wall < record.submitted + (due_after_s(record.spec, settings) - longest_run_s) / 2;
 }
 
 double usable_gpus(const store::Resources& free, double cpu_per_gpu) {
@@ -153,8 +160,8 @@
 }
 
 namespace {
-/// GPUs to be kept on each slot so that the reserve stands or, where there is too little room for
-/// it, comes to stand as work ends: on few machines, those that are nearest to it. Spread over all
+/// GPUs to be kept on each slot so that the headroom exists or, where there is too little room for
+/// it, comes to exist as work ends: on few machines, those with most usable GPUs. Spread over all
 /// machines it would never be room for a large task.
 void hold_back(std::vector<Slot>& slots, const Fit& fit) {
   std::vector<std::pair<double, Slot*>> nearest;
@@ -163,8 +170,8 @@
     if (held_gpus(slot, 0, fit.reserve, fit.cpu_per_gpu))
       nearest.emplace_back(usable_gpus(slot.free, fit.cpu_per_gpu), &slot);
   }
-  // The reserve takes few of many machines: a heap, not all of them sorted. Equal ones in the
-  // picture's order.
+  // The headroom takes few of many machines: a heap, not all of them sorted. Equal ones in the
+  // order of the slots.
   const auto farther = [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first < b.first : a.second > b.second;
   };
@@ -183,8 +190,8 @@
  public:
   template <class Work>
   bool operator()(const void* key, Work work) {
-    for (const auto& [k, allowed] : known_)
-      if (k == key) return allowed;
+    for (const auto& [known_key, allowed] : known_)
+      if (known_key == key) return allowed;
     known_.emplace_back(key, work());
     return known_.back().second;
   }
@@ -192,6 +199,33 @@
  private:
   std::vector<std::pair<const void*, bool>> known_;
 };
+
+// CPUs beside free GPUs are kept for them: a task without GPUs must not strand the GPUs.
+bool strands_gpus(const JobSpec& spec, const Slot& slot, double cpu_per_gpu) {
+  return spec.per_task.gpus == 0 && slot.type->size.gpus > 0 &&
+         slot.free.cpus - spec.per_task.cpus + store::Resources::kSlack <
+             slot.free.gpus * cpu_per_gpu;
+}
+
+bool keeps_headroom(const JobSpec& spec, const Slot& slot, double cpu_per_gpu) {
+  if (slot.held_gpus <= 0) return true;
+  store::Resources after = slot.free;
+  after.add(spec.per_task, -1);
+  return usable_gpus(after, cpu_per_gpu) + store::Resources::kSlack >= slot.held_gpus;
+}
+
+// The score of a slot whose machine has to fetch the image first, in seconds: fetches dominate
+// starts.
+double with_fetch(double score, const JobSpec& spec, const Slot& slot, double start_within_s) {
+  constexpr double kLeastFetchRate = 0.01;  // GB/s
+  constexpr double kLateStartPenalty = 20;
+  const double fetch_s = spec.image_gb / std::max(kLeastFetchRate, slot.type->fetch_gb_per_s);
+  score += fetch_s;
+  // The rest of the time goes into accepting and writing: a fetch of half of it makes the start
+  // late, which no better packing is worth.
+  if (start_within_s > 0 && fetch_s > start_within_s / 2) score += kLateStartPenalty;
+  return score;
+}
 }  // namespace
 
 const std::string* shared_zone(const store::MachineType& type, const std::string& zone) {
@@ -215,26 +249,11 @@
       continue;
     if (fit.avoid && !fit.avoid->empty() && fit.avoid->count(slot.machine)) continue;
     if (fit.held && fit.held->count(slot.machine)) continue;
-    const auto& size = slot.type->size;
-    // CPUs beside free GPUs are theirs: a task without GPUs must not strand them.
-    if (!fit.strand_gpus && spec.per_task.gpus == 0 && size.gpus > 0 &&
-        slot.free.cpus - spec.per_task.cpus + store::Resources::kSlack <
-            slot.free.gpus * fit.cpu_per_gpu)
-      continue;
-    if (bound && slot.held_gpus > 0) {
-      store::Resources after = slot.free;
-      after.add(spec.per_task, -1);
-      if (usable_gpus(after, fit.cpu_per_gpu) + store::Resources::kSlack < slot.held_gpus) continue;
-    }
-    // In seconds: fetches dominate starts.
+    if (!fit.strand_gpus && strands_gpus(spec, slot, fit.cpu_per_gpu)) continue;
+    if (bound && !keeps_headroom(spec, slot, fit.cpu_per_gpu)) continue;
     double score = placement_score(spec, slot);
-    if (fit.images && !holds(slot.images, image)) {
-      const double fetch_s = spec.image_gb / std::max(0.01, slot.type->fetch_gb_per_s);
-      score += fetch_s;
-      // The rest of the time goes into accepting and writing: a fetch of half of it makes the start
-      // late, which no better packing is worth.
-      if (fit.start_within_s > 0 && fetch_s > fit.start_within_s / 2) score += 20;
-    }
+    if (fit.images && !holds(slot.images, image))
+      score = with_fetch(score, spec, slot, fit.start_within_s);
     if (!best || score < best_score) {
       best = &slot;
       best_score = score;
@@ -246,21 +265,22 @@
 std::vector<std::pair<std::string, store::Resources>> bin_pack(const JobSpec& spec, uint32_t tasks,
                                                                const std::vector<Slot>& slots,
                                                                const std::set<std::string>& avoid) {
-  std::vector<std::pair<uint32_t, const Slot*>> takes;
+  std::vector<std::pair<uint32_t, const Slot*>> capacities;  // tasks that fit on each slot
   for (const auto& slot : slots) {
     const bool allowed = kind_allowed(spec, slot.spot) && type_allowed(spec, slot.type->name) &&
                          (!spec.zone || *spec.zone == *slot.zone) && !avoid.count(slot.machine);
     if (!allowed) continue;
-    uint32_t n = 0;
-    for (auto free = slot.free; n < tasks && spec.per_task.fits(free); free.add(spec.per_task, -1))
-      ++n;
-    if (n > 0) takes.emplace_back(n, &slot);
+    uint32_t capacity = 0;
+    for (auto free = slot.free; capacity < tasks && spec.per_task.fits(free);
+         free.add(spec.per_task, -1))
+      ++capacity;
+    if (capacity > 0) capacities.emplace_back(capacity, &slot);
   }
-  std::stable_sort(takes.begin(), takes.end(),
+  std::stable_sort(capacities.begin(), capacities.end(),
                    [](const auto& a, const auto& b) { return a.first > b.first; });
   std::vector<std::pair<std::string, store::Resources>> room;
-  for (const auto& [n, slot] : takes)
-    for (uint32_t i = 0; i < n && room.size() < tasks; ++i)
+  for (const auto& [capacity, slot] : capacities)
+    for (uint32_t i = 0; i < capacity && room.size() < tasks; ++i)
       room.emplace_back(slot->machine, spec.per_task);
   if (room.size() < tasks) room.clear();
   return room;
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -1,5 +1,5 @@
-// Where a task fits: one picture of machines, used by owners to place and by the
-// leader to plan. Changing a picture changes nothing else.
+// Where a task fits: one picture of the machines, used by shard leaders to place tasks and by the
+// cluster leader to plan capacity. Changing a picture changes nothing else.
 #pragma once
 #include <map>
 #include <optional>
@@ -15,7 +15,7 @@
 /// Which images a machine has, as far as the placements seen tell: the most recently used ones.
 class ImageCaches {
  public:
-  using ImageId = uint32_t;  // names are long and compared for every machine: numbered as they come
+  using ImageId = uint32_t;  // names are long, and compared for every machine
   struct Cached {
     ImageId image;
     double gb;
@@ -43,11 +43,11 @@
   bool empty = true;    // nothing placed on it
   bool pinned = false;  // holds work that may not be preempted
   const ImageCaches::Cache* images = nullptr;
-  double held_gpus = 0;  // kept back for the reserve; worked out by `pick`
+  double held_gpus = 0;  // kept back for the headroom; set by `select_slot`
 };
 
-/// The type's own copy of the zone's name, so that slots of one zone share a pointer and `pick`
-/// compares few.
+/// The type's own copy of the zone's name, so that slots of one zone share a pointer and
+/// `select_slot` compares few.
 const std::string* shared_zone(const store::MachineType& type, const std::string& zone);
 
 /// Tasks of one job by zone, those on machines included.
@@ -59,7 +59,7 @@
   double gpus_per_task = 1;  // in pieces of this size
 };
 
-/// Adds tasks that are waited for, if they need GPUs and can't use spot machines.
+/// Adds tasks that wait or are expected, if they need GPUs and can't use spot machines.
 void keep_headroom_for(CapacityHeadroom& reserve, const store::JobSpec& spec, double tasks);
 
 struct Fit {
@@ -67,11 +67,11 @@
   const ImageCaches* images = nullptr;
   const std::set<std::string>* avoid = nullptr;  // machines that failed this job
   const std::set<std::string>* held = nullptr;   // machines kept for another job
-  bool strand_gpus = false;                      // may CPU work take what free GPUs need?
+  bool strand_gpus = false;                      // CPUs that free GPUs need may be taken
   CapacityHeadroom reserve = {};  // binds work without GPUs and work that may use spot machines
   bool spot_only = false;  // work that can wait leaves ordinary machines to work that needs them
   bool idle_room_only = false;  // on spot machines and beside work that lasts
-  double start_within_s = 0;    // when it should run by its objective; 0: no matter, or too late
+  double start_within_s = 0;    // by when it should run by its objective; 0: none, or too late
 };
 
 bool type_allowed(const store::JobSpec& spec, const std::string& type);
@@ -99,13 +99,13 @@
 /// GPUs of a slot that tasks with the usual CPUs beside them can take.
 double usable_gpus(const store::Resources& free, double cpu_per_gpu);
 
-/// Of a reserve of which `left` GPUs are not held yet, how many this slot holds; none: it is no
-/// place for one piece.
+/// Of a headroom of which `left` GPUs are not held yet, how many this slot holds; none: it has no
+/// room for one piece.
 std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve,
                                 double cpu_per_gpu);
 
 /// How badly a slot suits a task that fits there, images apart: work that may use spot machines
-/// leaves the others free; after that the fullest machine, so that the emptiest can be given back.
+/// leaves the others free; after that the fullest machine, so that the emptiest can be scaled in.
 /// The lowest is best.
 double placement_score(const store::JobSpec& spec, const Slot& slot);
 
--- a/src/coordination/scheduling/preemptor_reservations.h
+++ b/src/coordination/scheduling/preemptor_reservations.h
@@ -19,7 +19,7 @@
   void add(PreemptorReservation reservation) { reservations_.push_back(std::move(reservation)); }
   bool has(const std::string& job) const;
   void remove_job(const std::string& job);
-  /// Reservations of the job on machines for which `gone` holds.
+  /// Removes the reservations for which `gone` holds.
   template <class Predicate>
   void remove_if(Predicate gone) {
     std::erase_if(reservations_, gone);
--- a/src/coordination/scheduling/slot_index.cpp
+++ b/src/coordination/scheduling/slot_index.cpp
@@ -79,7 +79,8 @@
   }
 }
 
-// As `pick` holds back: on the slots nearest to the reserve, so that it stands or comes to stand.
+// As `select_slot` over a list holds back: on the slots with most usable GPUs, so that the headroom
+// exists or comes to exist as work ends.
 // Slots with as many usable GPUs hold as much, so they are counted and not looked at, but for the
 // last ones.
 void SlotIndex::hold_back(const CapacityHeadroom& reserve) {
@@ -95,8 +96,8 @@
     const double usable = group->first;
     const double each = std::max(piece, std::floor(usable / piece) * piece);
     size_t count = 0;
-    for (const auto& [gpus, n] : group->second.by_gpus)
-      if (gpus + Resources::kSlack >= piece) count += n;
+    for (const auto& [gpus, slots] : group->second.by_gpus)
+      if (gpus + Resources::kSlack >= piece) count += slots;
     const double all = each * static_cast<double>(count);
     if (left < all + usable) return hold_last(reserve, left, group);
     left -= all;
--- a/src/coordination/scheduling/slot_index.h
+++ b/src/coordination/scheduling/slot_index.h
@@ -16,8 +16,8 @@
 
 namespace rushtrestle::coordination {
 
-/// Gives the same place as `pick` over a list of the same slots, without images, avoided and held
-/// machines.
+/// Gives the same place as the free `select_slot` over a list of the same slots, without images,
+/// avoided machines and machines of gang reservations.
 ///
 /// Slots that differ in nothing but their number, their free CPUs and their free memory form a
 /// group. Within a group the best place for a task without GPUs is the one with the fewest CPUs
@@ -71,7 +71,7 @@
         places;
     std::map<double, size_t> by_gpus;  // number of them by free GPUs
   };
-  /// Where the reserve is held back, as long as no slot with GPUs changes: on all slots with more
+  /// Where the headroom is held back, as long as no slot with GPUs changes: on all slots with more
   /// usable GPUs than `last_usable`, on those with as many that come before `end`, and on the ones
   /// in `partly`.
   struct HeldBack {
