--- /dev/null
+++ b/src/coordination/scheduling/gang_reservation_table.cpp
@@ -0,0 +1,71 @@
+#include "coordination/scheduling/gang_reservation_table.h"
+
+#include <string>
+#include <utility>
+
+namespace rushtrestle::coordination {
+
+namespace {
+// Long enough for most work that ends by itself to end.
+constexpr double kGangReservationSeconds = 120;
+}  // namespace
+
+const GangReservation* GangReservationTable::reservation_against(const ShardJob& job) const {
+  const auto it = reservations_.find(job.shard);
+  return it != reservations_.end() && it->second.keeps_out(job.desired.spec) ? &it->second
+                                                                             : nullptr;
+}
+
+void GangReservationTable::end_if_over(int shard) {
+  const auto it = reservations_.find(shard);
+  if (it == reservations_.end()) return;
+  const bool time_is_over = context_.now >= it->second.until;
+  if (state_.pending_jobs().count(it->second.job) && !time_is_over) return;
+  // It has not helped in its time, so it gives way to others for as long.
+  if (time_is_over) no_reservation_until_[shard] = context_.now + kGangReservationSeconds;
+  reservations_.erase(it);
+}
+
+void GangReservationTable::reserve_for(const ShardJob& gang) {
+  const auto& spec = gang.desired.spec;
+  if (reservations_.count(gang.shard) || context_.now < no_reservation_until_[gang.shard] ||
+      !within_quota(gang))
+    return;
+  auto machines = machines_to_reserve(spec, room_to_come(gang.shard), context_.settings.zones,
+                                      limits_.most_new_machines());
+  if (machines.empty()) return;
+  context_.counters["gang_holds"]++;
+  context_.info("gang_reservation_made job=" + spec.id +
+                " machines=" + std::to_string(machines.size()));
+  reservations_[gang.shard] = {spec.id, spec.rank, std::move(machines),
+                               context_.now + kGangReservationSeconds};
+}
+
+bool GangReservationTable::within_quota(const ShardJob& gang) const {
+  const auto& spec = gang.desired.spec;
+  store::Resources whole_gang;
+  whole_gang.add(spec.per_task, spec.tasks);
+  return quotas_.within_quota(spec.team, whole_gang);
+}
+
+// What the machines that take work have beside services, which don't end by themselves.
+std::vector<RoomToCome> GangReservationTable::room_to_come(int shard) const {
+  std::vector<RoomToCome> machines;
+  for (const auto& [id, machine] : state_.machines()) {
+    const auto* durable = state_cache_.machine(id);
+    const auto* type = durable ? state_cache_.type(durable->record.type) : nullptr;
+    if (machine.shard != shard || !type || !durable->record.usable() || !machine.known ||
+        machine.quarantined() || !state_.sends_heartbeats(machine))
+      continue;
+    const auto& record = durable->record;
+    RoomToCome to_come{id, record.zone, record.type, record.spot, type->size};
+    for (const auto& [task, attempt] : machine.placed) {
+      const auto& spec = state_.jobs().at(task.first).desired.spec;
+      if (spec.kind == store::JobKind::service) to_come.room.add(spec.per_task, -1);
+    }
+    machines.push_back(std::move(to_come));
+  }
+  return machines;
+}
+
+}  // namespace rushtrestle::coordination
--- /dev/null
+++ b/src/coordination/scheduling/slot_finder.cpp
@@ -0,0 +1,132 @@
+#include "coordination/scheduling/slot_finder.h"
+
+#include <algorithm>
+
+#include "coordination/scheduling/best_effort.h"
+#include "coordination/scheduling/slot_rollback.h"
+
+namespace rushtrestle::coordination {
+
+namespace {
+constexpr double kLeastFetchRate = 0.01;  // GB/s; a type without a rate must not divide by zero
+}  // namespace
+
+ZoneCounts zones_of(const store::JobRecord& record, const store::StateCache& state_cache) {
+  ZoneCounts zones;
+  for (const auto& placement : record.placed)
+    if (const auto* machine = state_cache.machine(placement.machine)) zones[machine->record.zone]++;
+  return zones;
+}
+
+bool SlotFinder::takes_work(const ShardMachine& machine, const store::MachineRecord& record) const {
+  return record.usable() && machine.known && !machine.quarantined() && !machine.notice_s &&
+         !machine.marking_for_deletion && !machine.record_write_queued &&
+         machine.commands_failing_since <= 0 && state_.sends_heartbeats(machine);
+}
+
+std::vector<Slot> SlotFinder::slots(int shard) const {
+  std::vector<Slot> slots;
+  for (const auto& [id, machine] : state_.machines()) {
+    const auto* durable = state_cache_.machine(id);
+    if (machine.shard != shard || !durable || !takes_work(machine, durable->record)) continue;
+    const auto& record = durable->record;
+    const auto* type = state_cache_.type(record.type);
+    if (!type) continue;
+    store::Resources free = type->size;
+    free.add(machine.used, -1);
+    for (const auto& reservation : preemptor_reservations_.all())
+      if (reservation.machine == id) free.add(reservation.room, -1);
+    slots.push_back({id, type, shared_zone(*type, record.zone), record.spot, free,
+                     machine.placed.empty(), machine.non_preemptible > 0, images_.of(id)});
+  }
+  return slots;
+}
+
+std::string SlotFinder::placement_class_of(ShardJob& job) const {
+  if (!job.avoid.empty()) return "";
+  const auto& spec = job.desired.spec;
+  // Once a job: written anew for each job in each pass it was a quarter of a pass with thousands
+  // waiting.
+  if (job.placement_shape.empty())
+    job.placement_shape = spec.job_class + "|" + spec.team + "|" + placement_shape(spec);
+  std::string result = job.placement_shape;
+  if (can_wait_for_spot(job.desired, context_.settings, context_.wall)) result += "|w";
+  if (takes_idle_room_only(job.desired, context_)) result += "|i";
+  if (spec.spread || spec.one_zone) result += zones_shape(zones_of(job.desired, state_cache_));
+  return result;
+}
+
+Fit SlotFinder::placement_request_for(const ShardJob& job) const {
+  const auto& record = job.desired;
+  Fit fit;
+  fit.cpu_per_gpu = conditions_.cpu_per_gpu;
+  fit.images = &images_;
+  fit.avoid = &job.avoid;
+  if (const GangReservation* reservation = gang_reservations_.reservation_against(job))
+    fit.held = &reservation->machines;
+  fit.reserve = conditions_.headroom;
+  fit.spot_only =
+      conditions_.production_waits && can_wait_for_spot(record, context_.settings, context_.wall);
+  fit.idle_room_only = takes_idle_room_only(record, context_);
+  const double start_within = start_within_s(record.spec, context_.settings);
+  if (context_.wall - record.submitted < start_within) fit.start_within_s = start_within;
+  return fit;
+}
+
+// CPUs beside free GPUs are kept for work with GPUs only as long as there are others, and only
+// where that does not make a start late for its image: where CPUs are what is short, an idle GPU
+// costs less than a service that is down.
+Slot* SlotFinder::select_slot_for(const ShardJob& job, const ZoneCounts& zones,
+                                  std::vector<Slot>& slots) const {
+  Fit fit = placement_request_for(job);
+  const auto& spec = job.desired.spec;
+  const auto starts_late = [&](const Slot& slot) {
+    return fit.start_within_s > 0 && !images_.has(slot.machine, spec.image) &&
+           spec.image_gb / std::max(kLeastFetchRate, slot.type->fetch_gb_per_s) >
+               fit.start_within_s / 2;
+  };
+  Slot* beside_kept_cpus = select_slot(spec, zones, slots, fit);
+  if (spec.per_task.gpus > 0 || (beside_kept_cpus && !starts_late(*beside_kept_cpus)))
+    return beside_kept_cpus;
+  fit.strand_gpus = true;
+  Slot* anywhere = select_slot(spec, zones, slots, fit);
+  return !beside_kept_cpus || (anywhere && !starts_late(*anywhere)) ? anywhere : beside_kept_cpus;
+}
+
+std::optional<PlannedRoom> SlotFinder::room_for_whole(const ShardJob& job,
+                                                      std::vector<Slot>& slots) const {
+  const ZoneCounts zones = zones_of(job.desired, state_cache_);
+  const auto& spec = job.desired.spec;
+  if (!spec.one_zone || spec.zone || !zones.empty()) return room_beside(job, zones, slots);
+  // The first task's place decides the zone; what is best for it alone may have no room for the
+  // rest.
+  ShardJob bound_to_zone = job;
+  for (const auto& zone : context_.settings.zones) {
+    bound_to_zone.desired.spec.zone = zone;
+    if (auto planned_room = room_beside(bound_to_zone, zones, slots)) return planned_room;
+  }
+  return std::nullopt;
+}
+
+std::optional<PlannedRoom> SlotFinder::room_beside(const ShardJob& job, ZoneCounts zones,
+                                                   std::vector<Slot>& slots) const {
+  const auto& spec = job.desired.spec;
+  const uint32_t missing_tasks =
+      spec.tasks - job.desired.done.size() - static_cast<uint32_t>(job.desired.placed.size());
+  store::Resources more;
+  PlannedRoom planned_room;
+  SlotRollback rollback;  // to the bit: the picture serves the next trial, too
+  for (uint32_t i = 0; i < missing_tasks; ++i) {
+    more.add(spec.per_task);
+    if (!quotas_.within_quota(spec.team, more)) return std::nullopt;
+    Slot* slot = select_slot_for(job, zones, slots);
+    if (!slot) return std::nullopt;
+    rollback.record(*slot);
+    slot->free.add(spec.per_task, -1);
+    zones[*slot->zone]++;
+    planned_room.emplace_back(slot->machine, spec.per_task);
+  }
+  return planned_room;
+}
+
+}  // namespace rushtrestle::coordination
