--- a/src/coordination/fleet/cloud_inventory.h
+++ b/src/coordination/fleet/cloud_inventory.h
@@ -34,7 +34,10 @@
   /// Begins a listing if one is due and the cloud's budget allows.
   void tick();
   /// Steady time of the next listing; none while one is under way.
-  double next_due() const { return list_in_flight_ ? kNoDueTime : next_list_; }
+  double next_due() const {
+    if (list_in_flight_) return kNoDueTime;
+    return next_list_;
+  }
   /// All machines were listed at least once in this leadership.
   bool listed_once() const { return listed_once_; }
   /// Machines listed as running in this leadership.
--- a/src/coordination/fleet/machine_deletion.h
+++ b/src/coordination/fleet/machine_deletion.h
@@ -30,7 +30,10 @@
   /// Sends a deletion request if one is due and the cloud's budget allows.
   void tick();
   /// Steady time at which terminating machines are looked for; none while a request is under way.
-  double next_due() const { return request_in_flight_ ? kNoDueTime : next_request_; }
+  double next_due() const {
+    if (request_in_flight_) return kNoDueTime;
+    return next_request_;
+  }
 
  private:
   std::vector<std::string> machines_to_delete() const;
--- a/src/coordination/fleet/type_catalogue.h
+++ b/src/coordination/fleet/type_catalogue.h
@@ -25,7 +25,10 @@
   /// Fetches the types if that is due and the cloud's budget allows.
   void tick();
   /// Steady time of the next fetch; none while one is under way.
-  double next_due() const { return fetch_in_flight_ ? kNoDueTime : next_fetch_; }
+  double next_due() const {
+    if (fetch_in_flight_) return kNoDueTime;
+    return next_fetch_;
+  }
   /// As fetched last; empty: none were fetched yet.
   const std::vector<store::MachineType>& prices() const { return prices_; }
 
