--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -192,7 +192,7 @@
 
 // A record that was stored under a larger limit can't be written again before enough of its tasks
 // have ended, and its user waited for that. The cancellation gets a key of its own, once every
-// controller reads such keys (ClusterLeader::record_format). It holds only while the record stands
+// controller reads such keys (RecordFormatMarker). It holds only while the record stands
 // as it was read, and the shard leader's writes of such a record hold only while there is no
 // cancellation beside it; so one of the two is first, for everybody.
 void JobService::write_cancellation_beside_record(RequestId request) {
