--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -71,8 +71,8 @@
     prepared.preconditions.push_back({key, state_cache_.mod_revision_of(key)});
   };
   // A job whose record is too large to be written again is cancelled by a write to a key of its own
-  // (JobService::write_cancellation): what was decided before the cancellation must not become durable
-  // after it.
+  // (JobService::write_cancellation): what was decided before the cancellation must not become
+  // durable after it.
   if (state_store_.oversized(to_json(durable)))
     must_be_unchanged(store::cancel_key(durable.spec.id));
   // A new placement holds only if its machine was not offered or marked for deletion meanwhile.
