--- a/bench/scale/hollow_worker.h
+++ b/bench/scale/hollow_worker.h
@@ -7,7 +7,8 @@
 
 #include "coordination/runtime/messages.h"
 #include "jobs.h"
-#include "transport/http.h"
+#include "transport/http_client.h"
+#include "transport/http_server.h"
 
 namespace rushtrestle::scale {
 
--- a/bench/scale/state_server.cpp
+++ b/bench/scale/state_server.cpp
@@ -9,7 +9,7 @@
 
 #include "protocol/codec.h"
 #include "simulation/fake_state_store.h"
-#include "transport/http.h"
+#include "transport/http_server.h"
 #include "wire.h"
 
 namespace rushtrestle::scale {
--- a/bench/scale/users.h
+++ b/bench/scale/users.h
@@ -5,7 +5,7 @@
 
 #include "jobs.h"
 #include "protocol/codec.h"
-#include "transport/http.h"
+#include "transport/http_client.h"
 
 namespace rushtrestle::scale {
 
--- /dev/null
+++ b/src/transport/address.cpp
@@ -0,0 +1,35 @@
+#include "transport/address.h"
+
+#include <arpa/inet.h>
+#include <netinet/in.h>
+
+#include <charconv>
+#include <stdexcept>
+
+namespace rushtrestle::transport {
+
+std::string text_of(const Address& address) {
+  in_addr ip{};
+  ip.s_addr = address.ip;
+  char text[INET_ADDRSTRLEN];
+  inet_ntop(AF_INET, &ip, text, sizeof text);
+  return std::string(text) + ":" + std::to_string(address.port);
+}
+
+Address parse_address(const std::string& text) {
+  const auto colon = text.rfind(':');
+  Address a;
+  in_addr ip{};
+  unsigned port = 0;
+  const char* end = text.data() + text.size();
+  if (colon == std::string::npos || inet_pton(AF_INET, text.substr(0, colon).c_str(), &ip) != 1)
+    throw std::invalid_argument("'" + text + "' is not an address of the form a.b.c.d:port");
+  const auto [p, ec] = std::from_chars(text.data() + colon + 1, end, port);
+  if (ec != std::errc{} || p != end || port == 0 || port > 65535)
+    throw std::invalid_argument("'" + text + "' has no valid port");
+  a.ip = ip.s_addr;
+  a.port = static_cast<uint16_t>(port);
+  return a;
+}
+
+}  // namespace rushtrestle::transport
--- a/src/transport/controller_server.h
+++ b/src/transport/controller_server.h
@@ -8,7 +8,8 @@
 
 #include "coordination/core.h"
 #include "protocol/codec.h"
-#include "transport/http.h"
+#include "transport/http_client.h"
+#include "transport/http_server.h"
 
 namespace rushtrestle::transport {
 
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,5 +1,3 @@
-#include "transport/http.h"
-
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -10,6 +8,9 @@
 
 #include <cerrno>
 
+#include "transport/http_client.h"
+#include "transport/http_server.h"
+
 namespace rushtrestle::transport {
 namespace {
 
