--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -30,7 +30,7 @@
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
-    if (w.called_off_by_user(id)) continue;
+    if (w.cancelled_by_user(id)) continue;
     RC_ASSERT(w.told(id).has_value());
     const auto* record = w.stored("job/" + id);
     RC_LOG() << id << " " << record->dump() << "\n";
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -270,7 +270,7 @@
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_LOG() << id << " " << w.stored("job/" + id)->dump() << "\n";
-    RC_ASSERT(w.called_off_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
+    RC_ASSERT(w.cancelled_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
   }
 }
 
@@ -467,7 +467,7 @@
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
-    if (w.called_off_by_user(id)) continue;
+    if (w.cancelled_by_user(id)) continue;
     RC_LOG() << id << " " << w.stored("job/" + id)->dump() << "\n";
     RC_ASSERT(w.told(id) == "done" || w.running(id) > 0);
   }
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -188,7 +188,7 @@
 void expect_all_served(const ClusterSimulation& w, const std::vector<store::JobSpec>& jobs) {
   for (const auto& j : jobs) {
     RC_ASSERT(w.accepted(j.id));
-    if (w.called_off_by_user(j.id)) continue;
+    if (w.cancelled_by_user(j.id)) continue;
     const auto* record = w.stored("job/" + j.id);
     RC_LOG() << j.id << " told " << w.told(j.id).value_or("nothing") << " " << record->dump()
              << "\n";
@@ -276,17 +276,17 @@
       w.kill_node(1, back_after);
     }
   });
-  std::vector<int> called_off;
+  std::vector<int> cancelled;
   for (int i = 0; i < 24; ++i) {
     // Around the take-over, and around the handing back, 1.5 worker leases after the home is steady
     // again.
     const double at = i < 12 ? 39.5 + 0.7 * i : 40 + back_after + 20 + 0.5 * (i - 12);
     w.cancel(name(i), at);
-    called_off.push_back(i);
+    cancelled.push_back(i);
   }
   w.run_until(130);
   expect_no_rule_broken(w);
-  for (const int i : called_off) {
+  for (const int i : cancelled) {
     RC_ASSERT(w.cancel_told(name(i)));
     RC_ASSERT(w.running(name(i)) == 0u);
   }
@@ -543,7 +543,7 @@
       EXPECT_TRUE(w.broken.empty()) << first(w);
       for (const auto& j : jobs) {
         EXPECT_TRUE(w.accepted(j.id)) << j.id;
-        if (w.called_off_by_user(j.id)) continue;
+        if (w.cancelled_by_user(j.id)) continue;
         if (j.kind == store::JobKind::service) {
           EXPECT_EQ(w.running(j.id), j.tasks) << j.id;
         } else {
--- a/tests/simulation/cluster_simulation.cpp
+++ b/tests/simulation/cluster_simulation.cpp
@@ -331,74 +331,89 @@
   });
 }
 
-void ClusterSimulation::perform(int n, int generation, Call&& c) {
-  const std::string name = node_name(n);
-  const double deadline = now_ + c.timeout_s;
-  const CallId id = c.id;
-  // Whatever comes first, an answer or the time-out, ends the call; the core ignores the second.
-  const auto back = [this, n, generation](const std::string& from, CallDone&& d) {
-    send(from, node_name(n), [this, n, generation, done = std::move(d)]() mutable {
-      if (nodes_[static_cast<size_t>(n)].generation == generation) deliver(n, std::move(done));
+void ClusterSimulation::deliver_to(int n, int generation, CallDone&& done) {
+  if (nodes_[static_cast<size_t>(n)].generation == generation) deliver(n, std::move(done));
+}
+
+// Whatever comes first, an answer or the time-out, ends the call; the core ignores the second.
+void ClusterSimulation::perform(int n, int generation, Call&& call) {
+  const double deadline = now_ + call.timeout_s;
+  const AnswerBack back = [this, n, generation](const std::string& from, CallDone&& answer) {
+    send(from, node_name(n), [this, n, generation, done = std::move(answer)]() mutable {
+      deliver_to(n, generation, std::move(done));
     });
   };
-  at(deadline, [this, n, generation, id] {
-    if (nodes_[static_cast<size_t>(n)].generation == generation) deliver(n, CallDone{id, 0, {}});
+  at(deadline, [this, n, generation, id = call.id] {
+    deliver_to(n, generation, CallDone{id, 0, {}});
   });
-  if (const auto* worker = std::get_if<PushCommands>(&c.body)) {
-    const std::string to = worker->address;
-    send(name, to, [this, to, back, call = c] {
-      const auto it = workers_.find(to);
-      if (it == workers_.end() || it->second.phase != Worker::Phase::up) return;
-      const auto run = [this, to, back, call] {
-        if (workers_.count(to)) back(to, at_worker(to, call));
-      };
-      if (now_ < it->second.hang_until) {
-        at(it->second.hang_until, run);  // a hanging machine continues with what has come
-      } else {
-        run();
-      }
-    });
-  } else if (std::holds_alternative<SendPeerState>(c.body) ||
-             std::holds_alternative<ForwardHeartbeat>(c.body)) {
-    const auto* tell = std::get_if<SendPeerState>(&c.body);
-    const auto* relay = std::get_if<ForwardHeartbeat>(&c.body);
-    const std::string address = tell ? tell->address : relay->address;
-    send(name, address, [this, n, generation, id, to = address.back() - '0', call = c] {
-      if (!nodes_[static_cast<size_t>(to)].alive) return;
-      const RequestId r = next_request_++;
-      peer_waiting_[r] = {n, generation, id};
-      if (const auto* state = std::get_if<SendPeerState>(&call.body)) {
-        PeerState said = state->state;
-        ++work_.peer_messages;
-        work_.machines_named_to_peers += said.machines_heard.size();
-        forget_new_words(said, n, to);
-        deliver(to, HandlePeerState{r, std::move(said)});
-      } else {
-        deliver(to, HandleForwardedHeartbeat{r, std::get<ForwardHeartbeat>(call.body).heartbeat});
-      }
-    });
-  } else if (std::holds_alternative<Watch>(c.body)) {
-    send(name, "state",
-         [this, n, generation, call = c, deadline] { watch(n, generation, call, deadline); });
-  } else if (c.body.index() < CallBody(ListMachineTypes{}).index()) {
-    const double slow = now_ < slow_until_ && rng_() % 4 == 0 ? 3 : 0;
-    if (std::holds_alternative<Txn>(c.body) && now_ < unanswered_until_ &&
-        std::uniform_real_distribution<>(0, 1)(rng_) < unanswered_share_) {
-      const double late = unanswered_at_once_ ? 0 : std::uniform_real_distribution<>(2, 12)(rng_);
-      send(name, "state",
-           [this, n, late, call = c] { at(now_ + late, [this, n, call] { at_state(n, call); }); });
-      return;
-    }
-    send(name, "state", [this, n, back, slow, call = c] {
-      at(now_ + slow, [this, n, back, call] { back("state", at_state(n, call)); });
-    });
+  if (std::holds_alternative<PushCommands>(call.body)) {
+    call_worker(n, call, back);
+  } else if (std::holds_alternative<SendPeerState>(call.body) ||
+             std::holds_alternative<ForwardHeartbeat>(call.body)) {
+    call_peer(n, generation, call);
+  } else if (std::holds_alternative<Watch>(call.body)) {
+    send(node_name(n), "state",
+         [this, n, generation, call, deadline] { watch(n, generation, call, deadline); });
+  } else if (call.body.index() < CallBody(ListMachineTypes{}).index()) {
+    call_state_store(n, call, back);
   } else {
-    send(name, "cloud", [this, back, call = c] {
+    send(node_name(n), "cloud", [this, back, call] {
       at(now_ + 0.2, [this, back, call] { back("cloud", at_cloud(call)); });
     });
   }
 }
 
+void ClusterSimulation::call_worker(int n, const Call& call, const AnswerBack& back) {
+  const std::string to = std::get<PushCommands>(call.body).address;
+  send(node_name(n), to, [this, to, back, call] {
+    const auto it = workers_.find(to);
+    if (it == workers_.end() || it->second.phase != Worker::Phase::up) return;
+    const auto run = [this, to, back, call] {
+      if (workers_.count(to)) back(to, at_worker(to, call));
+    };
+    if (now_ < it->second.hang_until) {
+      at(it->second.hang_until, run);  // a hanging machine continues with what has come
+    } else {
+      run();
+    }
+  });
+}
+
+void ClusterSimulation::call_peer(int n, int generation, const Call& call) {
+  const auto* peer_state = std::get_if<SendPeerState>(&call.body);
+  const std::string address =
+      peer_state ? peer_state->address : std::get<ForwardHeartbeat>(call.body).address;
+  send(node_name(n), address, [this, n, generation, to = address.back() - '0', call] {
+    if (!nodes_[static_cast<size_t>(to)].alive) return;
+    const RequestId request = next_request_++;
+    peer_waiting_[request] = {n, generation, call.id};
+    if (const auto* state = std::get_if<SendPeerState>(&call.body)) {
+      PeerState said = state->state;
+      ++work_.peer_messages;
+      work_.machines_named_to_peers += said.machines_heard.size();
+      forget_new_words(said, n, to);
+      deliver(to, HandlePeerState{request, std::move(said)});
+    } else {
+      const auto& forwarded = std::get<ForwardHeartbeat>(call.body);
+      deliver(to, HandleForwardedHeartbeat{request, forwarded.heartbeat});
+    }
+  });
+}
+
+void ClusterSimulation::call_state_store(int n, const Call& call, const AnswerBack& back) {
+  const double slow = now_ < slow_until_ && rng_() % 4 == 0 ? 3 : 0;
+  if (std::holds_alternative<Txn>(call.body) && now_ < unanswered_until_ &&
+      std::uniform_real_distribution<>(0, 1)(rng_) < unanswered_share_) {
+    const double late = unanswered_at_once_ ? 0 : std::uniform_real_distribution<>(2, 12)(rng_);
+    send(node_name(n), "state",
+         [this, n, late, call] { at(now_ + late, [this, n, call] { at_state(n, call); }); });
+    return;
+  }
+  send(node_name(n), "state", [this, n, back, slow, call] {
+    at(now_ + slow, [this, n, back, call] { back("state", at_state(n, call)); });
+  });
+}
+
 Json ClusterSimulation::stats_of(int node) {
   Node& asked = nodes_.at(static_cast<size_t>(node));
   std::deque<Command> commands{ShowStats{next_request_++}};
--- a/tests/simulation/cluster_simulation.h
+++ b/tests/simulation/cluster_simulation.h
@@ -133,7 +133,7 @@
   bool cancel_told(const std::string& job) const;                 // by any node, in whatever answer
   bool accepted(const std::string& job) const;
   bool refused_for_good(const std::string& job) const { return jobs_.at(job).refused_for_good; }
-  bool called_off_by_user(const std::string& job) const;
+  bool cancelled_by_user(const std::string& job) const;
   size_t machines_up() const;
   /// Work done so far, of all controllers together.
   struct Work {
@@ -172,7 +172,7 @@
     std::set<CallId> calls, commands_to_workers;  // under way; each takes a socket
   };
   struct Task {
-    ReportedTask heartbeat;
+    ReportedTask reported;
     double remaining = 0, fetch_until = 0, last_step = 0;
     double gathered_at = -1;  // of a gang: has its image and waits for the others
     double noticed_at = -1;   // when it was seen first that a member is gone
@@ -219,7 +219,13 @@
   void deliver(int n, Command c);
   void process(int n);
   void carry_out(int n, Effect&& e);
-  void perform(int n, int generation, Call&& c);
+  using AnswerBack = std::function<void(const std::string& from, CallDone&& answer)>;
+  /// To a controller unless it has ended since.
+  void deliver_to(int n, int generation, CallDone&& done);
+  void perform(int n, int generation, Call&& call);
+  void call_worker(int n, const Call& call, const AnswerBack& back);
+  void call_peer(int n, int generation, const Call& call);
+  void call_state_store(int n, const Call& call, const AnswerBack& back);
   bool take_socket(Node& node, const Call& c);
   void start_call(int n, Call&& c);
   CallDone at_state(int n, const Call& c);
@@ -239,6 +245,11 @@
   Heartbeat snapshot(Worker& w);
   void execute(Worker& w, const std::vector<WorkerCommand>& commands);
   void advance(Worker& w);
+  void end_lease(Worker& w);
+  using TaskKey = std::pair<std::string, uint32_t>;
+  void fetch(Worker& w, const TaskKey& key, Task& t);
+  void run(const TaskKey& key, Task& t);
+  void save(const TaskKey& key, Task& t);
   // A task of a gang's attempt, as its worker has it.
   struct Member {
     Task* task = nullptr;
@@ -246,13 +257,13 @@
   };
   using Attempt = std::map<uint32_t, Member>;
   void advance_gangs();
-  void advance_attempt(Job& j, Attempt& membership);
-  void progress_gang(Job& j, Attempt& membership);
-  void notice_peers(const Job& j, const Attempt& membership, Member& m);
+  void advance_attempt(Job& j, Attempt& members);
+  void progress_gang(Job& j, Attempt& members);
+  void notice_peers(const Job& j, const Attempt& members, Member& m);
   static void leave(Member& m, ExitCause cause);
   static bool on_machine(const Task& t) {
-    return t.heartbeat.state == TaskState::running || t.heartbeat.state == TaskState::saving ||
-           (t.heartbeat.state == TaskState::fetching && t.gathered_at >= 0);
+    return t.reported.state == TaskState::running || t.reported.state == TaskState::saving ||
+           (t.reported.state == TaskState::fetching && t.gathered_at >= 0);
   }
   void expire_leases();
   void send_kept_copies(const std::string& key);
@@ -265,7 +276,7 @@
   void note_cancelled(Job& j);
   void look_closely(const std::string& id);
   void repeat_submission(const std::string& id, int node);
-  void called_off(const std::string& id);
+  void cancel_by_user(const std::string& id);
   void user_ask(int node, const std::function<Command(RequestId)>& make,
                 const std::function<void(std::optional<AnswerUser>)>& then);
   void check_rules();
--- a/tests/simulation/fault_injection.cpp
+++ b/tests/simulation/fault_injection.cpp
@@ -106,7 +106,7 @@
     if (count == 0) return;
     if (!j.accepted || j.user_cancelled || j.done_told || running(id) == 0) continue;
     --count;
-    called_off(id);
+    cancel_by_user(id);
     for (auto& [machine, w] : workers_)
       if (hang_s > 0 && std::any_of(w.tasks.begin(), w.tasks.end(),
                                     [&job = id](const auto& t) { return t.first.first == job; })) {
@@ -115,7 +115,7 @@
       }
   }
 }
-void ClusterSimulation::called_off(const std::string& id) {
+void ClusterSimulation::cancel_by_user(const std::string& id) {
   jobs_.at(id).user_cancelled = true;
   user_cancel(id, 0, kAnyNode);
 }
--- a/tests/simulation/rule_checks.cpp
+++ b/tests/simulation/rule_checks.cpp
@@ -27,8 +27,8 @@
         fail(std::string("ran_twice: ").append(job).append("/").append(std::to_string(task)) +
              " on " + id + " and " + w.id);
       // Stricter than the protocol, which forbids only the same task and other zones.
-      if (j.spec.kind == store::JobKind::gang && t.heartbeat.attempt != attempt)
-        fail("two attempts: " + job + " " + std::to_string(t.heartbeat.attempt) + " and " +
+      if (j.spec.kind == store::JobKind::gang && t.reported.attempt != attempt)
+        fail("two attempts: " + job + " " + std::to_string(t.reported.attempt) + " and " +
              std::to_string(attempt));
       zones[o.zone]++;
       ++others;
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -164,7 +164,7 @@
 bool ClusterSimulation::cancel_told(const std::string& job) const {
   return jobs_.at(job).cancel_told;
 }
-bool ClusterSimulation::called_off_by_user(const std::string& job) const {
+bool ClusterSimulation::cancelled_by_user(const std::string& job) const {
   return jobs_.at(job).user_cancelled;
 }
 bool ClusterSimulation::accepted(const std::string& job) const { return jobs_.at(job).accepted; }
@@ -181,7 +181,7 @@
   size_t n = 0;
   for (const auto& [id, w] : workers_)
     for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.heartbeat.state == TaskState::fetching && t.gathered_at >= 0) ++n;
+      if (key.first == job && t.reported.state == TaskState::fetching && t.gathered_at >= 0) ++n;
   return n;
 }
 
@@ -189,7 +189,7 @@
   size_t n = 0;
   for (const auto& [id, w] : workers_)
     for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.heartbeat.state == TaskState::running) ++n;
+      if (key.first == job && t.reported.state == TaskState::running) ++n;
   return n;
 }
 
--- a/tests/simulation/workers.cpp
+++ b/tests/simulation/workers.cpp
@@ -16,68 +16,78 @@
   r.sequence = ++w.sequence;
   r.fencing_token = w.fencing_token;
   if (w.taken_at) r.notice_s = *w.taken_at - now_;
-  for (const auto& [key, t] : w.tasks) r.tasks.push_back(t.heartbeat);
+  for (const auto& [key, t] : w.tasks) r.tasks.push_back(t.reported);
   return r;
 }
 
+// All is killed and forgotten, and the next agent epoch begins.
+void ClusterSimulation::end_lease(Worker& w) {
+  w.tasks.clear();
+  ++w.agent_epoch;
+  w.lease_from = now_;
+  w.reporting = false;
+  w.next_report = now_;
+}
+
+// The image is there: a gang's member waits for the others from now on, any other task runs.
+void ClusterSimulation::fetch(Worker& w, const TaskKey& key, Task& t) {
+  const auto& spec = jobs_.at(key.first).spec;
+  const bool gang = spec.kind == store::JobKind::gang;
+  if (now_ < t.fetch_until || (gang && t.gathered_at >= 0)) return;
+  if (gang) {
+    t.gathered_at = now_;
+  } else {
+    t.reported.state = TaskState::running;
+    t.last_step = now_;
+  }
+  w.images.insert(spec.image);
+  check_start(w, key.first, key.second, t.reported.attempt);
+  if (now_ < w.sick_until || jobs_.at(key.first).broken) {
+    t.reported.state = TaskState::exited;
+    t.reported.cause = ExitCause::error;
+  }
+}
+
+void ClusterSimulation::run(const TaskKey& key, Task& t) {
+  t.remaining -= now_ - t.last_step;
+  t.last_step = now_;
+  Job& job = jobs_.at(key.first);
+  if (job.spec.kind != store::JobKind::array || t.remaining > 0) return;
+  t.reported.state = TaskState::exited;
+  t.reported.cause = ExitCause::done;
+  job.completed.insert(key.second);
+  if (now_ < ends_until_ && job.completed.size() == job.spec.tasks && job.accepted &&
+      !job.user_cancelled && std::uniform_real_distribution<>(0, 1)(rng_) < ends_share_)
+    at(now_ + std::uniform_real_distribution<>(0, 0.1)(rng_),
+       [this, id = key.first] { cancel_by_user(id); });
+}
+
+void ClusterSimulation::save(const TaskKey& key, Task& t) {
+  Job& job = jobs_.at(key.first);
+  const bool gang = job.spec.kind == store::JobKind::gang;
+  const bool all_told = job.told_to_stop.size() == job.spec.tasks;
+  if (gang && job.told_to_stop.size() < job.spec.tasks &&
+      now_ - job.first_stop_at < options_.gang_peer_s)
+    return;  // has saved, and waits for the others
+  if (gang && all_told) {
+    job.safe = std::max(job.safe, job.progress);
+    t.reported.saved = true;
+  }
+  t.reported.state = TaskState::exited;
+  t.reported.cause = ExitCause::stopped;
+}
+
 void ClusterSimulation::advance(Worker& w) {
   if (now_ < w.hang_until) return;
   check_cancelled(w);  // before what ends now has ended
-  if (now_ - w.lease_from > settings_.lease_s) {
-    // The lease is over: all is killed and forgotten, and the next session begins.
-    w.tasks.clear();
-    ++w.agent_epoch;
-    w.lease_from = now_;
-    w.reporting = false;
-    w.next_report = now_;
-  }
+  if (now_ - w.lease_from > settings_.lease_s) end_lease(w);
   for (auto& [key, t] : w.tasks) {
     const auto& spec = jobs_.at(key.first).spec;
-    if (t.heartbeat.state == TaskState::fetching && spec.kind == store::JobKind::gang) {
-      if (t.gathered_at >= 0 || now_ < t.fetch_until) continue;
-      t.gathered_at = now_;
-      w.images.insert(spec.image);
-      check_start(w, key.first, key.second, t.heartbeat.attempt);
-      if (now_ < w.sick_until || jobs_.at(key.first).broken) {
-        t.heartbeat.state = TaskState::exited;
-        t.heartbeat.cause = ExitCause::error;
-      }
-      continue;
-    }
-    if (t.heartbeat.state == TaskState::fetching && now_ >= t.fetch_until) {
-      t.heartbeat.state = TaskState::running;
-      t.last_step = now_;
-      w.images.insert(spec.image);
-      check_start(w, key.first, key.second, t.heartbeat.attempt);
-      if (now_ < w.sick_until || jobs_.at(key.first).broken) {
-        t.heartbeat.state = TaskState::exited;
-        t.heartbeat.cause = ExitCause::error;
-      }
-    }
-    if (t.heartbeat.state == TaskState::running) {
-      t.remaining -= now_ - t.last_step;
-      t.last_step = now_;
-      if (spec.kind == store::JobKind::array && t.remaining <= 0) {
-        t.heartbeat.state = TaskState::exited;
-        t.heartbeat.cause = ExitCause::done;
-        auto& j = jobs_.at(key.first);
-        j.completed.insert(key.second);
-        if (now_ < ends_until_ && j.completed.size() == spec.tasks && j.accepted &&
-            !j.user_cancelled && std::uniform_real_distribution<>(0, 1)(rng_) < ends_share_)
-          at(now_ + std::uniform_real_distribution<>(0, 0.1)(rng_),
-             [this, id = key.first] { called_off(id); });
-      }
-    } else if (t.heartbeat.state == TaskState::saving && now_ - t.last_step >= spec.save_s) {
-      auto& j = jobs_.at(key.first);
-      if (spec.kind == store::JobKind::gang && j.told_to_stop.size() < spec.tasks &&
-          now_ - j.first_stop_at < options_.gang_peer_s)
-        continue;  // has saved, and waits for the others
-      if (spec.kind == store::JobKind::gang && j.told_to_stop.size() == spec.tasks) {
-        j.safe = std::max(j.safe, j.progress);
-        t.heartbeat.saved = true;
-      }
-      t.heartbeat.state = TaskState::exited;
-      t.heartbeat.cause = ExitCause::stopped;
+    if (t.reported.state == TaskState::fetching) fetch(w, key, t);
+    if (t.reported.state == TaskState::running) {
+      run(key, t);
+    } else if (t.reported.state == TaskState::saving && now_ - t.last_step >= spec.save_s) {
+      save(key, t);
     }
   }
   recheck_quotas(w);
@@ -91,7 +101,7 @@
       if (it != w.tasks.end()) continue;
       const auto job = jobs_.find(c.job);
       Task t;
-      t.heartbeat = {c.job, c.task, c.attempt, TaskState::fetching, ExitCause::none, false};
+      t.reported = {c.job, c.task, c.attempt, TaskState::fetching, ExitCause::none, false};
       if (job == jobs_.end() || c.task >= job->second.spec.tasks) {
         fail("start of unknown task " + c.job);
         continue;
@@ -101,11 +111,11 @@
                                      [&](const auto& x) { return x.name == w.type; });
       store::Resources free = type->size;
       for (const auto& [k, other] : w.tasks)
-        if (other.heartbeat.state != TaskState::exited)
+        if (other.reported.state != TaskState::exited)
           free.add(jobs_.at(k.first).spec.per_task, -1);
       if (!spec.per_task.fits(free)) {
-        t.heartbeat.state = TaskState::exited;
-        t.heartbeat.cause = ExitCause::no_room;
+        t.reported.state = TaskState::exited;
+        t.reported.cause = ExitCause::no_room;
       } else {
         t.fetch_until =
             now_ + (w.images.count(spec.image) ? 0 : spec.image_gb / type->fetch_gb_per_s);
@@ -115,8 +125,8 @@
       }
       w.tasks[key] = t;
       machines_of_job_[c.job].insert(w.id);
-    } else if (it != w.tasks.end() && it->second.heartbeat.attempt == c.attempt) {
-      auto& r = it->second.heartbeat;
+    } else if (it != w.tasks.end() && it->second.reported.attempt == c.attempt) {
+      auto& r = it->second.reported;
       if (c.verb == WorkerVerb::forget) {
         if (r.state == TaskState::exited) w.tasks.erase(it);
       } else if (r.state != TaskState::exited) {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -83,7 +83,7 @@
   for (int i = 0; i < jobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     ASSERT_TRUE(w.accepted(id)) << id;
-    if (w.called_off_by_user(id)) continue;
+    if (w.cancelled_by_user(id)) continue;
     EXPECT_TRUE(w.told(id) == "done" || w.running(id) > 0)
         << id << " " << w.stored("job/" + id)->dump();
   }
@@ -331,7 +331,7 @@
   for (int i = 0; i < work.jobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
-    RC_ASSERT(w.called_off_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
+    RC_ASSERT(w.cancelled_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
   }
 }
 
