--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -47,7 +47,7 @@
       fill(value.first);
       fill(value.second);
     } else if constexpr (kIsVariant<T>) {
-      std::visit([this](auto& alternative) { fill(alternative); }, value);
+      std::visit([this](auto& alternative) { this->fill(alternative); }, value);
     } else {
       describe(*this, value);
       if constexpr (std::same_as<T, CancellationOffer>)
@@ -104,12 +104,19 @@
   if (earlier.is_object() && current.is_object()) {
     for (const auto& [name, value] : earlier.items()) {
       RC_ASSERT(current.contains(name));
-      expect_contained(value, current.at(name), path + "/" + name);
+      std::string field = path;
+      field += "/";
+      field += name;
+      expect_contained(value, current.at(name), field);
     }
   } else if (earlier.is_array() && current.is_array()) {
     RC_ASSERT(earlier.size() == current.size());
-    for (size_t i = 0; i < earlier.size(); ++i)
-      expect_contained(earlier[i], current[i], path + "/" + std::to_string(i));
+    for (size_t i = 0; i < earlier.size(); ++i) {
+      std::string element = path;
+      element += "/";
+      element += std::to_string(i);
+      expect_contained(earlier[i], current[i], element);
+    }
   } else {
     RC_LOG() << path << ": " << earlier << " / " << current << '\n';
     RC_ASSERT(earlier == current);
@@ -121,7 +128,7 @@
   std::mt19937_64 rng(seed);
   std::vector<T> values;
   Filler{rng}.fill_all(values);
-  const Json saved = save(values);
+  Json saved = save(values);
   std::vector<T> read;
   load(saved, read);
   RC_ASSERT(save(read) == saved);
