--- a/src/coordination/preemption/nomination.cpp
+++ b/src/coordination/preemption/nomination.cpp
@@ -15,7 +15,8 @@
     return "not_preemptible";
   if (!std::isfinite(expected_runtime_s) || expected_runtime_s <= 0) return "invalid_duration";
   if (!std::isfinite(job.last_start) || job.last_start <= 0) return "missing_start";
-  // The clocks of two controllers may differ by twice the bound; only more than that is a skew.
+  // The clocks of two controllers may differ by twice the error bound; only a larger difference
+  // counts as clock skew.
   if (wall < job.last_start - 2 * clock_error_s) return "clock_skew";
   if (wall - job.last_start < expected_runtime_s) return "not_due";
   if (!std::isfinite(job.not_before) || job.not_before < 0) return "invalid_not_before";
--- a/src/coordination/preemption/requeue_action.cpp
+++ b/src/coordination/preemption/requeue_action.cpp
@@ -13,7 +13,8 @@
 using store::JobStatus;
 
 namespace {
-// Least lost work first: jobs that can save their progress, then the ones started last.
+// Orders victims by the work lost on eviction: first jobs that save checkpoints, then the jobs that
+// started last.
 bool loses_less_work(const JobRecord& left, const JobRecord& right) {
   const bool left_saves = left.spec.checkpoint_s > 0;
   const bool right_saves = right.spec.checkpoint_s > 0;
@@ -27,16 +28,17 @@
   auto preemptors = waiting_preemptors(shard);
   const auto candidates = nominate(shard);
   if (preemptors.empty() || candidates.empty()) return;
-  // A copy of the picture for each pair took seconds: one picture, rolled back after each trial.
-  auto picture = slot_finder_.slots(shard);
+  // All trials share one list of slots, which is rolled back after each trial: a copy for each pair
+  // of jobs took seconds.
+  auto slots = slot_finder_.slots(shard);
   for (ShardJob* victim : candidates) {
-    TrialEviction eviction(victim->desired, picture);
-    const auto match = first_that_fits(*victim, preemptors, picture);
+    TrialEviction eviction(victim->desired, slots);
+    const auto match = find_fitting_preemptor(*victim, preemptors, slots);
     if (!match) continue;
     eviction.commit();
     commit_requeue(*victim, *preemptors[match->preemptor].job, match->planned_room);
     preemptors.erase(preemptors.begin() + static_cast<long>(match->preemptor));
-    picture = slot_finder_.slots(shard);  // less the room that is reserved now
+    slots = slot_finder_.slots(shard);  // now without the room just reserved
   }
 }
 
@@ -72,21 +74,22 @@
   return candidates;
 }
 
-// The first preemptor of a higher rank, in queue order, that fits whole into the picture.
-std::optional<RequeueAction::Match> RequeueAction::first_that_fits(
-    const ShardJob& victim, const std::vector<Preemptor>& preemptors, std::vector<Slot>& picture) {
-  // With hundreds of both, a trial for each pair delayed heartbeats and lease renewals for seconds:
-  // jobs of one placement class and number of tasks are tried once.
-  std::unordered_set<std::string> classes_tried;
+// Returns the first preemptor in queue order that has a higher rank than the victim and fits whole
+// into the slots.
+std::optional<RequeueAction::Match> RequeueAction::find_fitting_preemptor(
+    const ShardJob& victim, const std::vector<Preemptor>& preemptors, std::vector<Slot>& slots) {
+  // Jobs with the same placement class and number of missing tasks are tried only once: with
+  // hundreds of victims and preemptors, a trial for each pair delayed heartbeats and lease renewals
+  // by seconds.
+  std::unordered_set<std::string> tried_keys;
   for (size_t i = 0; i < preemptors.size(); ++i) {
-    const auto& [job, placement_class] = preemptors[i];
+    const auto& [job, fit_key] = preemptors[i];
     if (job->desired.spec.rank <= victim.desired.spec.rank) break;  // the queue is sorted by rank
-    if (classes_tried.count(placement_class) || preemptor_reservations_.has(job->desired.spec.id))
-      continue;
-    if (auto planned_room = slot_finder_.room_for_whole(*job, picture))
+    if (tried_keys.count(fit_key) || preemptor_reservations_.has(job->desired.spec.id)) continue;
+    if (auto planned_room = slot_finder_.room_for_whole(*job, slots))
       return Match{i, std::move(*planned_room)};
     context_.counters["requeue_rollbacks_total"]++;
-    classes_tried.insert(placement_class);
+    tried_keys.insert(fit_key);
   }
   return std::nullopt;
 }
--- a/src/coordination/preemption/requeue_action.h
+++ b/src/coordination/preemption/requeue_action.h
@@ -1,9 +1,10 @@
-// The requeue action of the Expected Runtime design: running jobs past their expected runtime are
-// nominated; a trial eviction commits only if a waiting job of higher priority then fits whole,
-// else it is rolled back; a committed job is requeued and sits out a cooldown.
+// Requeue action of the Expected Runtime design: running jobs past their expected runtime are
+// nominated. A trial eviction of a nominated job is committed only if a waiting job of a higher
+// rank then fits whole; otherwise it is rolled back. An evicted job is requeued and is not
+// nominated again before its cooldown ends.
 //
-// Invariant: a job is stopped only for a preemptor of a higher rank that fits whole into the room
-// freed, and that room is reserved for the preemptor at once. Called by the shard controller.
+// Invariant: a job is stopped only for a preemptor of a higher rank that fits whole once the job is
+// gone, and the room for the preemptor is reserved at once. Called by the shard controller.
 #pragma once
 #include <optional>
 #include <string>
@@ -24,27 +25,27 @@
         slot_finder_(scheduler.slot_finder()),
         preemptor_reservations_(preemptor_reservations) {}
 
-  /// One scan of the shard: nominates, tries, commits or rolls back.
+  /// Scans the shard once: nominates jobs, tries to evict each, and commits or rolls back.
   void scan(int shard);
 
  private:
-  /// A job that waits for room, and its placement class: the same text for all that fit or don't
-  /// fit alike.
+  /// A waiting job and a key that is the same for all jobs that fit on the same slots: the
+  /// placement class and the number of missing tasks, or the job's id if it has no placement class.
   struct Preemptor {
     ShardJob* job = nullptr;
-    std::string placement_class;
+    std::string fit_key;
   };
-  /// Which of the preemptors gets the room that the victim frees, and where its tasks would go.
+  /// The preemptor for which the victim is evicted, and where the preemptor's tasks would go.
   struct Match {
-    size_t preemptor = 0;
+    size_t preemptor = 0;  // index in the list of preemptors
     PlannedRoom planned_room;
   };
 
   std::vector<Preemptor> waiting_preemptors(int shard);
   std::vector<ShardJob*> nominate(int shard);
-  std::optional<Match> first_that_fits(const ShardJob& victim,
-                                       const std::vector<Preemptor>& preemptors,
-                                       std::vector<Slot>& picture);
+  std::optional<Match> find_fitting_preemptor(const ShardJob& victim,
+                                              const std::vector<Preemptor>& preemptors,
+                                              std::vector<Slot>& slots);
   void commit_requeue(ShardJob& victim, const ShardJob& preemptor, const PlannedRoom& planned_room);
 
   Context& context_;
--- a/src/coordination/preemption/trial_eviction.h
+++ b/src/coordination/preemption/trial_eviction.h
@@ -1,9 +1,9 @@
-// The trial eviction of the Expected Runtime design: the picture of the machines as if the victim
-// had been evicted.
+// Trial eviction of the Expected Runtime design: changes the slots as if the victim had been
+// evicted.
 //
-// Invariant: unless `commit` was called, the picture is rolled back to the bit on destruction, so
-// that one picture serves all trials of a scan. Nothing but the picture is changed. Used by the
-// requeue action.
+// Invariant: unless `commit` was called, the destructor restores the slots exactly, to the bit, so
+// that all trials of a scan can share one list of slots. Nothing but the slots is changed. Used by
+// the requeue action.
 #pragma once
 #include <vector>
 
@@ -14,11 +14,12 @@
 
 class TrialEviction {
  public:
-  /// Adds the room of the victim's tasks to the slots of their machines. `picture` is sorted by
-  /// machine id; machines that are not in it take no work, so their room does not count.
-  TrialEviction(const store::JobRecord& victim, std::vector<Slot>& picture);
+  /// Adds the resources of the victim's tasks to the slots of their machines. `slots` must be
+  /// sorted by machine id. Machines without a slot accept no tasks, so their resources are not
+  /// counted.
+  TrialEviction(const store::JobRecord& victim, std::vector<Slot>& slots);
 
-  /// The victim will be evicted: the picture is not rolled back and may be replaced.
+  /// Keeps the changes, as the victim will be evicted. The list of slots may then be replaced.
   void commit() { rollback_.keep(); }
 
  private:
--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -1,4 +1,4 @@
-// Recent arrivals of jobs by shard and class, and the arrivals that follow from them.
+// Records recent job arrivals by shard and job class and forecasts the next arrivals from them.
 #pragma once
 #include <deque>
 #include <map>
@@ -12,20 +12,22 @@
 class ArrivalForecast {
  public:
   struct Forecast {
-    store::JobSpec shape;  // the last job of the class, with the mean number of tasks
+    store::JobSpec shape;  // the latest job of the class, with the mean number of tasks
     int jobs = 0;
   };
   ArrivalForecast(Context& context, const store::StateCache& state_cache,
                   const Membership& membership)
       : context_(context), state_cache_(state_cache), membership_(membership) {}
 
+  /// Counts the job's arrival if the job is new and its team has a guarantee.
   void on_job_changed(const std::string& id);
-  /// What will come while a machine boots: the recent rate over that time, plus one deviation.
+  /// Returns the jobs expected in one boot time of the slowest machine type: the mean at the recent
+  /// arrival rate plus one standard deviation (the square root of the mean).
   std::vector<Forecast> expected(int shard) const;
 
  private:
   struct Arrivals {
-    std::deque<double> times;  // of day
+    std::deque<double> times;  // submission times: seconds of the time of day
     store::JobSpec last;
     double tasks_mean = 1;
   };
@@ -35,7 +37,7 @@
   const store::StateCache& state_cache_;
   const Membership& membership_;
   std::map<std::pair<int, std::string>, Arrivals> arrivals_;
-  double since_ = 0;  // time of day of the first arrival seen
+  double first_arrival_at_ = 0;  // time of day (seconds) of the first arrival seen; 0: none yet
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/best_effort.cpp
+++ b/src/coordination/scheduling/best_effort.cpp
@@ -4,15 +4,16 @@
 
 namespace rushtrestle::coordination {
 
-bool starves(const store::JobRecord& job, double wall) {
-  constexpr double kMustBeginSeconds = 120;
-  return job.attempts == 0 && wall - job.submitted > kMustBeginSeconds;
+bool is_starving(const store::JobRecord& job, double wall) {
+  constexpr double kStarvingAfterSeconds = 120;
+  return job.attempts == 0 && wall - job.submitted > kStarvingAfterSeconds;
 }
 
 bool takes_idle_room_only(const store::JobRecord& job, const Context& context) {
   const auto& spec = job.spec;
   const bool may_wait = spec.rank == store::Rank::low && spec.spot && !spec.deadline_s;
-  if (!may_wait || !context.is_best_effort(spec.team) || starves(job, context.wall)) return false;
+  if (!may_wait || !context.is_best_effort(spec.team) || is_starving(job, context.wall))
+    return false;
   const auto& objectives = context.settings.objectives;
   return std::none_of(objectives.begin(), objectives.end(),
                       [&](const auto& objective) { return objective.job_class == spec.job_class; });
--- a/src/coordination/scheduling/best_effort.h
+++ b/src/coordination/scheduling/best_effort.h
@@ -1,18 +1,20 @@
-// Teams without a guarantee: what they run is borrowed, so it must not cost the others room,
-// machines or time.
+// Rules for jobs of best-effort teams, which have no guarantee: they run on borrowed capacity, so
+// they must not cost other teams capacity, machines or waiting time.
 #pragma once
 #include "coordination/runtime/context.h"
 #include "store/records.h"
 
 namespace rushtrestle::coordination {
 
-/// Has the job waited so long (seconds of the time of day `wall`) without a first start that it
-/// should begin wherever it can? Users check after four minutes; this is half of that.
-bool starves(const store::JobRecord& job, double wall);
+/// Returns true if the job has waited more than two minutes for its first start, so that it should
+/// start wherever it fits. The limit is half of the four minutes after which users check on a job.
+/// `wall` is the time of day in seconds.
+bool is_starving(const store::JobRecord& job, double wall);
 
-/// Best-effort work without any time limit: the lowest rank, no deadline and no objective of its
-/// class. It uses spot machines and what is idle beside services; no ordinary machine is
-/// provisioned or kept for it. Not so once it starves.
+/// Returns true for a best-effort job without a time limit: it may use spot machines, has the
+/// lowest rank and no deadline, and its class has no objective. Such a job runs on spot machines
+/// and on capacity that is idle beside services; no ordinary machine is provisioned or kept for it.
+/// Returns false once the job is starving.
 bool takes_idle_room_only(const store::JobRecord& job, const Context& context);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_reservation.h
+++ b/src/coordination/scheduling/gang_reservation.h
@@ -1,4 +1,4 @@
-// Machines kept for a large gang that has waited too long, until all of it fits.
+// Reservation of machines for a large gang that has waited too long, until the whole gang fits.
 #pragma once
 #include <set>
 #include <string>
@@ -8,32 +8,34 @@
 
 namespace rushtrestle::coordination {
 
-/// What a machine will have free once the work on it that ends by itself has ended.
-struct RoomToCome {
+/// The resources that a machine will have free once all work on it except services has ended.
+struct FutureCapacity {
   std::string machine;
   std::string zone;
   std::string type;
   bool spot = false;
-  store::Resources room;
+  store::Resources free;
 };
 
-/// A gang takes room only when all of it fits, so a stream of small jobs that takes each piece as
-/// it comes free would keep it waiting for ever. Nothing of the same or a lower rank is placed on
-/// the reserved machines but the gang. One reservation a shard, and for a limited time: the rest of
-/// the shard goes on beside it.
+/// Keeps machines free for one gang. A gang is placed only when all of its tasks fit, so a stream
+/// of small jobs that takes each free piece of capacity would keep it waiting for ever. No other
+/// job of the same or a lower rank is placed on the reserved machines. A shard has at most one
+/// reservation, for a limited time, so that scheduling on its other machines continues.
 struct GangReservation {
   std::string job;
   store::Rank rank = store::Rank::low;
   std::set<std::string> machines;
-  double until = 0;
+  double expires_at = 0;  // seconds, by the clock of `Context::now`
 
-  bool keeps_out(const store::JobSpec& spec) const { return spec.id != job && spec.rank <= rank; }
+  /// Returns true if the job must not be placed on the reserved machines.
+  bool excludes(const store::JobSpec& spec) const { return spec.id != job && spec.rank <= rank; }
 };
 
-/// The fewest machines, in one zone if the gang needs that, on which all of it will fit; empty if
-/// there are none, or more than `most`.
+/// Returns the smallest set of machines, in one zone if the gang requires that, on which the whole
+/// gang will fit. Empty: there is none, or it has more than `max_machines` machines.
 std::set<std::string> machines_to_reserve(const store::JobSpec& gang,
-                                          const std::vector<RoomToCome>& room,
-                                          const std::vector<std::string>& zones, size_t most);
+                                          const std::vector<FutureCapacity>& future_capacity,
+                                          const std::vector<std::string>& zones,
+                                          size_t max_machines);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_reservation_table.cpp
+++ b/src/coordination/scheduling/gang_reservation_table.cpp
@@ -6,23 +6,22 @@
 namespace rushtrestle::coordination {
 
 namespace {
-// Long enough for most work that ends by itself to end.
+// A reservation lasts long enough for most jobs that are not services to end.
 constexpr double kGangReservationSeconds = 120;
 }  // namespace
 
 const GangReservation* GangReservationTable::reservation_against(const ShardJob& job) const {
   const auto it = reservations_.find(job.shard);
-  return it != reservations_.end() && it->second.keeps_out(job.desired.spec) ? &it->second
-                                                                             : nullptr;
+  return it != reservations_.end() && it->second.excludes(job.desired.spec) ? &it->second : nullptr;
 }
 
-void GangReservationTable::end_if_over(int shard) {
+void GangReservationTable::remove_if_finished(int shard) {
   const auto it = reservations_.find(shard);
   if (it == reservations_.end()) return;
-  const bool time_is_over = context_.now >= it->second.until;
-  if (state_.pending_jobs().count(it->second.job) && !time_is_over) return;
-  // It has not helped in its time, so it gives way to others for as long.
-  if (time_is_over) no_reservation_until_[shard] = context_.now + kGangReservationSeconds;
+  const bool expired = context_.now >= it->second.expires_at;
+  if (state_.pending_jobs().count(it->second.job) && !expired) return;
+  // The gang did not fit in time, so other jobs get the machines for as long as they were reserved.
+  if (expired) no_reservation_until_[shard] = context_.now + kGangReservationSeconds;
   reservations_.erase(it);
 }
 
@@ -31,7 +30,7 @@
   if (reservations_.count(gang.shard) || context_.now < no_reservation_until_[gang.shard] ||
       !within_quota(gang))
     return;
-  auto machines = machines_to_reserve(spec, room_to_come(gang.shard), context_.settings.zones,
+  auto machines = machines_to_reserve(spec, future_capacity(gang.shard), context_.settings.zones,
                                       limits_.most_new_machines());
   if (machines.empty()) return;
   context_.counters["gang_holds"]++;
@@ -48,9 +47,10 @@
   return quotas_.within_quota(spec.team, whole_gang);
 }
 
-// What the machines that take work have beside services, which don't end by themselves.
-std::vector<RoomToCome> GangReservationTable::room_to_come(int shard) const {
-  std::vector<RoomToCome> machines;
+// Returns the resources beside services, which don't end by themselves, on each machine of the
+// shard that accepts tasks.
+std::vector<FutureCapacity> GangReservationTable::future_capacity(int shard) const {
+  std::vector<FutureCapacity> machines;
   for (const auto& [id, machine] : state_.machines()) {
     const auto* durable = state_cache_.machine(id);
     const auto* type = durable ? state_cache_.type(durable->record.type) : nullptr;
@@ -58,12 +58,12 @@
         machine.quarantined() || !state_.sends_heartbeats(machine))
       continue;
     const auto& record = durable->record;
-    RoomToCome to_come{id, record.zone, record.type, record.spot, type->size};
+    FutureCapacity capacity{id, record.zone, record.type, record.spot, type->size};
     for (const auto& [task, attempt] : machine.placed) {
       const auto& spec = state_.jobs().at(task.first).desired.spec;
-      if (spec.kind == store::JobKind::service) to_come.room.add(spec.per_task, -1);
+      if (spec.kind == store::JobKind::service) capacity.free.add(spec.per_task, -1);
     }
-    machines.push_back(std::move(to_come));
+    machines.push_back(std::move(capacity));
   }
   return machines;
 }
--- a/src/coordination/scheduling/gang_reservation_table.h
+++ b/src/coordination/scheduling/gang_reservation_table.h
@@ -1,7 +1,8 @@
-// The gang reservations of the shards that this controller leads: at most one a shard.
+// Gang reservations of the shards that this controller leads, at most one per shard.
 //
-// Invariant: a reservation that has not helped in its time gives way to other work for as long
-// before the next one in its shard. Called by the scheduler and the modules that look for room.
+// Invariant: after a reservation has expired, no other is made in its shard for as long as it
+// lasted, so that other jobs get the machines. Called by the scheduler, the gang scheduler and the
+// slot finder.
 #pragma once
 #include <map>
 
@@ -21,17 +22,17 @@
         quotas_(quotas),
         limits_(limits) {}
 
-  /// The reservation that keeps this job off the reserved machines; null: there is none.
+  /// Returns the reservation on whose machines this job must not be placed; null: there is none.
   const GangReservation* reservation_against(const ShardJob& job) const;
-  /// Reserves machines of its shard for a gang that finds no room, if the shard has no reservation,
-  /// none has just ended without effect, and the gang is within its team's quota.
+  /// Reserves machines of the gang's shard if the shard has no reservation, none has just expired
+  /// there without effect, and the gang is within its team's quota.
   void reserve_for(const ShardJob& gang);
-  /// Ends the shard's reservation if its gang waits no more or its time is over.
-  void end_if_over(int shard);
+  /// Removes the shard's reservation if its gang no longer waits or the reservation has expired.
+  void remove_if_finished(int shard);
 
  private:
   bool within_quota(const ShardJob& gang) const;
-  std::vector<RoomToCome> room_to_come(int shard) const;
+  std::vector<FutureCapacity> future_capacity(int shard) const;
 
   Context& context_;
   const store::StateCache& state_cache_;
@@ -39,7 +40,7 @@
   const TeamQuotas& quotas_;
   const PlacementLimits& limits_;
   std::map<int, GangReservation> reservations_;  // by shard
-  std::map<int, double> no_reservation_until_;   // by shard
+  std::map<int, double> no_reservation_until_;   // by shard, in seconds of `Context::now`
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_scheduler.cpp
+++ b/src/coordination/scheduling/gang_scheduler.cpp
@@ -9,26 +9,25 @@
 namespace rushtrestle::coordination {
 
 namespace {
-size_t machines_of(const PlannedRoom& planned_room) {
+size_t count_machines(const PlannedRoom& planned_room) {
   std::set<std::string> machines;
   for (const auto& [machine, room] : planned_room) machines.insert(machine);
   return machines.size();
 }
 }  // namespace
 
-// All that is missing or nothing: a whole attempt, or replacements for members that are known to be
-// gone.
+// Places either a whole attempt or replacements for all members that are known to be gone.
 bool GangScheduler::place(ShardJob& gang, std::vector<Slot>& slots) {
   const auto& record = gang.desired;
   const GangPhase phase = gang_phase(record);
-  const bool may_join =
-      phase == GangPhase::idle || (phase == GangPhase::gathering && all_gathering(gang));
-  if (!may_join) return false;
+  const bool accepts_members =
+      phase == GangPhase::idle || (phase == GangPhase::gathering && all_members_gathering(gang));
+  if (!accepts_members) return false;
   const uint32_t missing_tasks = record.spec.tasks - static_cast<uint32_t>(record.placed.size());
-  // This says nothing of the placement class: a smaller gang of the same class may fit where this
-  // one does not.
+  // This check says nothing about the placement class: a smaller gang of the same class may fit
+  // into its record where this gang does not.
   if (limits_.room_in_record(record) < missing_tasks) return false;
-  const PlannedRoom planned_room = room_for(gang, missing_tasks, slots);
+  const PlannedRoom planned_room = find_room(gang, missing_tasks, slots);
   if (planned_room.empty()) {
     if (queue_order_.group_of(record) == QueueGroup::starving) reservations_.reserve_for(gang);
     return false;
@@ -37,11 +36,11 @@
   return true;
 }
 
-// Every member that is placed was reported as waiting by a machine that still sends heartbeats. One
-// that was lost at the very moment of the start leaves the others running: a replacement would wait
-// in vain. The loss is known only after a silence that is longer than heartbeats are apart, so the
-// others have reported their start by then.
-bool GangScheduler::all_gathering(const ShardJob& gang) {
+// Returns true if every placed member was reported as waiting by a machine that still sends
+// heartbeats. If a member is lost just as the gang starts, the others run on and a replacement
+// would wait for ever. A loss is detected only after a silence longer than the heartbeat interval,
+// so the other members have reported their start by then.
+bool GangScheduler::all_members_gathering(const ShardJob& gang) {
   const auto reported_as_waiting = [&](const store::Placement& placement) {
     const ShardMachine* machine = state_.find_machine(placement.machine);
     return machine && machine->known && state_.sends_heartbeats(*machine) &&
@@ -57,27 +56,29 @@
   return std::all_of(placed.begin(), placed.end(), reported_as_waiting);
 }
 
-// All in one write, with a condition for each machine. The best places may be on more machines than
-// a transaction takes conditions for: then on as few as can be, or a gang in a fleet with little
-// room on each machine would wait for ever.
-PlannedRoom GangScheduler::room_for(const ShardJob& gang, uint32_t missing_tasks,
-                                    std::vector<Slot>& slots) const {
+// A gang is placed in one write with a condition for each machine. If the best slots are on more
+// machines than one transaction can hold conditions for, the gang is packed on as few machines as
+// possible; otherwise a gang would wait for ever in a fleet with little free room on each machine.
+PlannedRoom GangScheduler::find_room(const ShardJob& gang, uint32_t missing_tasks,
+                                     std::vector<Slot>& slots) const {
   auto best = slot_finder_.room_for_whole(gang, slots);
   if (!best) return {};
-  if (machines_of(*best) <= limits_.most_new_machines()) return std::move(*best);
+  if (count_machines(*best) <= limits_.most_new_machines()) return std::move(*best);
   if (gang.desired.spec.spread || reservations_.reservation_against(gang)) return {};
-  return room_on_few_machines(gang, missing_tasks, slots);
+  return find_room_on_few_machines(gang, missing_tasks, slots);
 }
 
-PlannedRoom GangScheduler::room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
-                                                const std::vector<Slot>& slots) const {
+// Packs the missing tasks on as few machines as possible. Empty: they need more machines than one
+// transaction can hold conditions for, or don't fit.
+PlannedRoom GangScheduler::find_room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
+                                                     const std::vector<Slot>& slots) const {
   store::JobSpec spec = gang.desired.spec;
   const ZoneCounts zones = zones_of(gang.desired, state_cache_);
   for (const auto& zone : context_.settings.zones) {
     if (spec.one_zone && !zone_allowed(gang.desired.spec, zone, zones)) continue;
     if (spec.one_zone) spec.zone = zone;
     PlannedRoom packed = bin_pack(spec, missing_tasks, slots, gang.avoid);
-    if (!packed.empty() && machines_of(packed) <= limits_.most_new_machines()) return packed;
+    if (!packed.empty() && count_machines(packed) <= limits_.most_new_machines()) return packed;
     if (!spec.one_zone) break;
   }
   return {};
--- a/src/coordination/scheduling/gang_scheduler.h
+++ b/src/coordination/scheduling/gang_scheduler.h
@@ -1,7 +1,7 @@
-// Places gangs: all members that are missing, or none.
+// Places gangs: either all missing members or none.
 //
-// Invariant: members are only added to a gang that is idle or still gathering (gang_lifecycle.h),
-// and all in one write. Called by the scheduler in its pass.
+// Invariant: members are only added to a gang that is idle or gathering (gang_lifecycle.h), and all
+// of them in one write. Called by the scheduler during a scheduling pass.
 #pragma once
 #include <string>
 #include <vector>
@@ -27,16 +27,16 @@
         limits_(limits),
         reservations_(reservations) {}
 
-  /// Places all that the gang lacks and takes the room from the slots; false: nothing was placed.
-  /// A starving gang that finds no room gets a gang reservation.
+  /// Places all missing members of the gang and subtracts their resources from the slots. Returns
+  /// false if nothing was placed. A starving gang that does not fit gets a gang reservation.
   bool place(ShardJob& gang, std::vector<Slot>& slots);
 
  private:
-  bool all_gathering(const ShardJob& gang);
-  PlannedRoom room_for(const ShardJob& gang, uint32_t missing_tasks,
-                       std::vector<Slot>& slots) const;
-  PlannedRoom room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
-                                   const std::vector<Slot>& slots) const;
+  bool all_members_gathering(const ShardJob& gang);
+  PlannedRoom find_room(const ShardJob& gang, uint32_t missing_tasks,
+                        std::vector<Slot>& slots) const;
+  PlannedRoom find_room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
+                                        const std::vector<Slot>& slots) const;
   void bind_all(ShardJob& gang, const PlannedRoom& planned_room, std::vector<Slot>& slots);
 
   Context& context_;
--- a/src/coordination/scheduling/queue_order.cpp
+++ b/src/coordination/scheduling/queue_order.cpp
@@ -31,7 +31,7 @@
     const double due = record.submitted + (group == QueueGroup::in_time ? *job.due_after_s : 0);
     entries.push_back({record.spec.rank, group, due, &job});
   }
-  // Stable: jobs that are equal in all of this stay in the order of their ids, as the set has them.
+  // The sort is stable, so that jobs that compare equal stay in the order of their ids.
   std::stable_sort(entries.begin(), entries.end(), [](const Entry& left, const Entry& right) {
     if (left.rank != right.rank) return left.rank > right.rank;
     return std::tie(left.group, left.due) < std::tie(right.group, right.due);
@@ -43,7 +43,7 @@
 }
 
 QueueGroup QueueOrder::group_of(const store::JobRecord& record) const {
-  if (starves(record, context_.wall)) return QueueGroup::starving;
+  if (is_starving(record, context_.wall)) return QueueGroup::starving;
   const auto& spec = record.spec;
   if (spec.deadline_s && context_.wall + spec.estimate_s > record.submitted + *spec.deadline_s)
     return QueueGroup::late;
--- a/src/coordination/scheduling/queue_order.h
+++ b/src/coordination/scheduling/queue_order.h
@@ -1,7 +1,7 @@
-// The order in which the jobs of a shard that wait for room are served: by rank, then by group,
-// then by when they are due or by age.
+// Scheduling order of the waiting jobs of a shard: by rank, then by group, then by due time (jobs
+// that are in time) or submission time (starving and late jobs).
 //
-// Invariant: the order follows from the records, the settings and the clock alone. Called by the
+// Invariant: the order depends on the records, the settings and the clock alone. Called by the
 // scheduler, the requeue action and the shard controller's statistics.
 #pragma once
 #include <vector>
@@ -10,11 +10,11 @@
 
 namespace rushtrestle::coordination {
 
-/// Groups within a rank, in the order in which they are served.
+/// Groups of jobs within a rank, in scheduling order.
 enum class QueueGroup {
-  starving,  // has waited too long to begin at all
-  in_time,   // can still be over when it should be
-  late       // can't be over by its deadline: served earlier, it would make others late, too
+  starving,  // has waited too long for its first start
+  in_time,   // is not known to miss its deadline
+  late       // can't meet its deadline; if scheduled earlier, it would make other jobs late, too
 };
 
 class QueueOrder {
@@ -22,9 +22,9 @@
   QueueOrder(const Context& context, const store::StateCache& state_cache, ShardState& state)
       : context_(context), state_cache_(state_cache), state_(state) {}
 
-  /// Jobs of the shard that wait for room, in the order in which they are served. Those that back
-  /// off, and those whose durable record is not open, are left out. Also forgets which machines a
-  /// job avoids once that has run out.
+  /// Returns the jobs of the shard that have tasks to place, in scheduling order. Jobs in backoff
+  /// and jobs whose durable record is not open are left out. Also clears a job's list of machines
+  /// to avoid once the list has expired.
   std::vector<ShardJob*> scheduling_queue(int shard);
   QueueGroup group_of(const store::JobRecord& record) const;
 
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -28,7 +28,7 @@
                       gang_reservations_) {}
 
 void Scheduler::schedule(int shard) {
-  gang_reservations_.end_if_over(shard);
+  gang_reservations_.remove_if_finished(shard);
   auto jobs = queue_order_.scheduling_queue(shard);
   if (jobs.empty()) return;
   limits_.measure_machine_ids();
@@ -40,13 +40,14 @@
   const PassConditions conditions = pass_conditions(shard, jobs);
   slot_finder_.begin_pass(conditions);
   auto open_slots = slot_finder_.slots(shard);
-  serve_in_turn(jobs, open_slots);
+  schedule_by_fair_share(jobs, open_slots);
   if (best_effort_jobs.empty()) return;
-  set_expected_room_aside(shard, conditions.cpu_per_gpu, open_slots);
-  serve_in_turn(best_effort_jobs, open_slots);
+  set_aside_forecast_capacity(shard, conditions.cpu_per_gpu, open_slots);
+  schedule_by_fair_share(best_effort_jobs, open_slots);
 }
 
-// `queue`: the waiting jobs of teams with a guarantee; headroom is kept for no others.
+// `queue` holds the waiting jobs of teams with a guarantee; headroom is kept only for these jobs
+// and for forecast arrivals.
 PassConditions Scheduler::pass_conditions(int shard, const std::vector<ShardJob*>& queue) const {
   PassConditions conditions;
   for (const auto& [id, job] : state_.jobs()) {
@@ -67,29 +68,32 @@
   return conditions;
 }
 
-// A queue for each team, served in turn by shares: the team that has least of its guarantee is
-// next.
-void Scheduler::serve_in_turn(const std::vector<ShardJob*>& jobs, std::vector<Slot>& open_slots) {
+// Schedules the jobs from one queue per team, by fair share: the next job is taken from the team
+// with the lowest load (`TeamQuotas::team_load`), usually the one that uses least of its guarantee.
+void Scheduler::schedule_by_fair_share(const std::vector<ShardJob*>& jobs,
+                                       std::vector<Slot>& open_slots) {
   std::map<std::string, std::vector<ShardJob*>> queues;  // by team
   for (ShardJob* job : jobs) queues[job->desired.spec.team].push_back(job);
-  std::map<std::string, size_t> next;              // by team: the place in its queue
-  std::set<std::pair<double, std::string>> turns;  // load and name of teams with jobs left
-  for (const auto& [team, queue] : queues) turns.emplace(quotas_.team_load(team), team);
-  // Placement classes that did not fit in this pass need not be tried again.
-  std::set<std::string> classes_without_room;
-  while (!turns.empty()) {
-    const std::string team = turns.extract(turns.begin()).value().second;
+  std::map<std::string, size_t> next_job;  // by team: index of the next job in its queue
+  // Load and name of each team with jobs left.
+  std::set<std::pair<double, std::string>> teams_by_load;
+  for (const auto& [team, queue] : queues) teams_by_load.emplace(quotas_.team_load(team), team);
+  // A placement class that did not fit is not tried again in this pass.
+  std::set<std::string> classes_that_do_not_fit;
+  while (!teams_by_load.empty()) {
+    const std::string team = teams_by_load.extract(teams_by_load.begin()).value().second;
     const auto& queue = queues[team];
-    ShardJob& job = *queue[next[team]++];
-    schedule_job(job, open_slots, classes_without_room);
-    if (next[team] < queue.size()) turns.emplace(quotas_.team_load(team), team);
+    ShardJob& job = *queue[next_job[team]++];
+    schedule_job(job, open_slots, classes_that_do_not_fit);
+    if (next_job[team] < queue.size()) teams_by_load.emplace(quotas_.team_load(team), team);
   }
 }
 
-// Best-effort teams' long work filled the spare room, and a gateway that came after it waited for a
-// machine to boot.
-void Scheduler::set_expected_room_aside(int shard, double cpu_per_gpu,
-                                        std::vector<Slot>& open_slots) const {
+// Subtracts the resources of forecast arrivals from the slots before best-effort jobs are placed.
+// Otherwise long best-effort jobs fill the spare capacity, and a gateway submitted after them waits
+// for a machine to boot.
+void Scheduler::set_aside_forecast_capacity(int shard, double cpu_per_gpu,
+                                            std::vector<Slot>& open_slots) const {
   Fit fit;
   fit.cpu_per_gpu = cpu_per_gpu;
   for (const auto& forecast : arrival_forecast_.expected(shard))
@@ -105,22 +109,23 @@
 }
 
 void Scheduler::schedule_job(ShardJob& job, std::vector<Slot>& open_slots,
-                             std::set<std::string>& classes_without_room) {
+                             std::set<std::string>& classes_that_do_not_fit) {
   const std::string& id = job.desired.spec.id;
   const std::string placement_class = slot_finder_.placement_class_of(job);
-  if (!placement_class.empty() && classes_without_room.count(placement_class)) return;
-  const bool has_reservation = open_reserved_room(id, open_slots);
+  if (!placement_class.empty() && classes_that_do_not_fit.count(placement_class)) return;
+  const bool has_reservation = add_reserved_room(id, open_slots);
   const Outcome outcome = place(job, open_slots);
   if (has_reservation && outcome == Outcome::placed)
     preemptor_reservations_.remove_job(id);
   else if (has_reservation)
-    close_reserved_room(id, open_slots);
+    subtract_reserved_room(id, open_slots);
   if (outcome == Outcome::no_room && !placement_class.empty())
-    classes_without_room.insert(placement_class);
+    classes_that_do_not_fit.insert(placement_class);
 }
 
-// Room reserved for this job counts for it. Reservations on machines that are no more are dropped.
-bool Scheduler::open_reserved_room(const std::string& job_id, std::vector<Slot>& open_slots) {
+// Adds the resources reserved for this job to the slots. Removes its reservations on machines that
+// no longer exist in the shards of this controller. Returns true if the job had a reservation.
+bool Scheduler::add_reserved_room(const std::string& job_id, std::vector<Slot>& open_slots) {
   bool has_reservation = false;
   for (const auto& reservation : preemptor_reservations_.all()) {
     if (reservation.job != job_id) continue;
@@ -135,8 +140,9 @@
   return has_reservation;
 }
 
-void Scheduler::close_reserved_room(const std::string& job_id,
-                                    std::vector<Slot>& open_slots) const {
+// Subtracts the resources reserved for this job from the slots again.
+void Scheduler::subtract_reserved_room(const std::string& job_id,
+                                       std::vector<Slot>& open_slots) const {
   for (const auto& reservation : preemptor_reservations_.all()) {
     if (reservation.job != job_id) continue;
     for (auto& slot : open_slots)
@@ -149,23 +155,24 @@
   return gang_scheduler_.place(job, slots) ? Outcome::placed : Outcome::nothing_placed;
 }
 
-// A record that is full, or a write that is, says nothing of the jobs of the same class behind this
-// one; only a task that finds no slot does.
+// Returns `no_room` only if a task found no slot. A full record or a full write says nothing about
+// later jobs of the same placement class.
 Scheduler::Outcome Scheduler::place_tasks(ShardJob& job, std::vector<Slot>& slots) {
   const auto& record = job.desired;
   const auto& spec = record.spec;
   ZoneCounts zones = zones_of(record, state_cache_);
-  // Worked out once there is a slot, as most jobs that wait find none.
+  // The limit is computed only after a slot was found, as most waiting jobs find none.
   std::optional<uint32_t> room_in_record;
-  // A large array on many machines was refused as malformed, and set aside for a lease, again and
-  // again. What needs more machines than a write takes goes on with the next write.
-  const size_t most_machines = limits_.most_new_machines();
-  std::set<std::string> machines_to_write = machines_to_be_written(job);
-  const size_t most_placed = failures_.on_probation(job) ? 1 : spec.tasks;
+  // A write that places tasks on too many machines is refused as malformed; without this limit, a
+  // large array was refused and then held back for a lease duration, repeatedly. The tasks that
+  // need more machines than one write allows are placed with the next write.
+  const size_t max_machines = limits_.most_new_machines();
+  std::set<std::string> machines_to_write = machines_of_unwritten_placements(job);
+  const size_t max_placed = failures_.on_probation(job) ? 1 : spec.tasks;
   bool any_placed = false;
   bool no_room = false;
   for (uint32_t task = next_pending_task(record, 0);
-       task < spec.tasks && room_in_record != 0U && record.placed.size() < most_placed;
+       task < spec.tasks && room_in_record != 0U && record.placed.size() < max_placed;
        task = next_pending_task(record, task + 1)) {
     if (!quotas_.within_quota(spec.team, spec.per_task)) break;
     Slot* slot = slot_finder_.select_slot_for(job, zones, slots);
@@ -173,7 +180,7 @@
     if (no_room) break;
     if (!room_in_record) room_in_record = limits_.room_in_record(record);
     if (*room_in_record == 0) break;
-    if (!machines_to_write.count(slot->machine) && machines_to_write.size() >= most_machines) break;
+    if (!machines_to_write.count(slot->machine) && machines_to_write.size() >= max_machines) break;
     machines_to_write.insert(slot->machine);
     state_.bind(job, task, slot->machine);
     slot->free.add(spec.per_task, -1);
@@ -189,8 +196,9 @@
   return Outcome::placed;
 }
 
-// Machines of placements that are not durable yet: the next write is conditioned on each of them.
-std::set<std::string> Scheduler::machines_to_be_written(const ShardJob& job) const {
+// Returns the machines of placements that are not durable yet. The next write of the job has a
+// condition on each of them.
+std::set<std::string> Scheduler::machines_of_unwritten_placements(const ShardJob& job) const {
   std::set<std::string> machines;
   const auto* durable = state_cache_.job(job.desired.spec.id);
   for (const auto& placement : job.desired.placed)
