--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -8,7 +8,7 @@
 using store::JobSpec;
 
 namespace {
-constexpr double kNoLimit = 1e9;  // tasks on a machine, for a task that takes nothing
+constexpr double kUnlimitedTasks = 1e9;  // Tasks on a machine if a task takes no resources.
 }  // namespace
 
 void ImageCaches::used(const std::string& machine, const std::string& image, double gb,
@@ -52,10 +52,10 @@
   return holds(of(machine), id(image));
 }
 
-void keep_headroom_for(CapacityHeadroom& reserve, const JobSpec& spec, double tasks) {
+void keep_headroom_for(CapacityHeadroom& headroom, const JobSpec& spec, double tasks) {
   if (spec.per_task.gpus <= 0 || spec.spot) return;
-  reserve.gpus += spec.per_task.gpus * tasks;
-  reserve.gpus_per_task = std::max(reserve.gpus_per_task, spec.per_task.gpus);
+  headroom.gpus += spec.per_task.gpus * tasks;
+  headroom.gpus_per_task = std::max(headroom.gpus_per_task, spec.per_task.gpus);
 }
 
 bool type_allowed(const JobSpec& spec, const std::string& type) {
@@ -95,7 +95,7 @@
 }
 
 int capacity_for(const JobSpec& spec, const store::MachineType& type) {
-  double tasks = kNoLimit;
+  double tasks = kUnlimitedTasks;
   const auto limit = [&](double size, double per_task) {
     if (per_task > 0)
       tasks = std::min(tasks, std::floor(size / per_task + store::Resources::kSlack));
@@ -128,7 +128,7 @@
 bool can_wait_for_spot(const store::JobRecord& record, const store::Settings& settings,
                        double wall) {
   if (!record.spec.spot) return false;
-  // Estimates are often wrong by half.
+  // Users' estimates of run times are often wrong by half.
   const double longest_run_s = 1.5 * record.spec.estimate_s;
   return wall < record.submitted + (due_after_s(record.spec, settings) - longest_run_s) / 2;
 }
@@ -137,12 +137,13 @@
   return cpu_per_gpu > 0 ? std::min(free.gpus, free.cpus / cpu_per_gpu) : free.gpus;
 }
 
-std::optional<double> held_gpus(const Slot& slot, double left, const CapacityHeadroom& reserve,
-                                double cpu_per_gpu) {
-  const double piece = std::max(1.0, reserve.gpus_per_task);
-  if (slot.spot || slot.free.gpus + store::Resources::kSlack < piece) return std::nullopt;
-  return std::max(piece,
-                  std::floor(std::min(left, usable_gpus(slot.free, cpu_per_gpu)) / piece) * piece);
+std::optional<double> headroom_gpus_on(const Slot& slot, double left,
+                                       const CapacityHeadroom& headroom, double cpu_per_gpu) {
+  const double chunk_gpus = std::max(1.0, headroom.gpus_per_task);
+  if (slot.spot || slot.free.gpus + store::Resources::kSlack < chunk_gpus) return std::nullopt;
+  return std::max(
+      chunk_gpus,
+      std::floor(std::min(left, usable_gpus(slot.free, cpu_per_gpu)) / chunk_gpus) * chunk_gpus);
 }
 
 double placement_score(const JobSpec& spec, const Slot& slot) {
@@ -153,46 +154,48 @@
                                                                     : 0;
   score += 3 * free_share;
   if (slot.empty) score += 3;
-  // Short work stays apart from work that lasts, so that whole machines can change hands.
+  // Short work stays apart from work that may not be preempted, so that whole machines can be
+  // reassigned.
   if (spec.spot && !slot.spot && slot.pinned) score += 10;
   if (!spec.spot && !slot.pinned) score += 2;
   return score;
 }
 
 namespace {
-/// GPUs to be kept on each slot so that the headroom exists or, where there is too little room for
-/// it, comes to exist as work ends: on few machines, those with most usable GPUs. Spread over all
-/// machines it would never be room for a large task.
-void hold_back(std::vector<Slot>& slots, const Fit& fit) {
-  std::vector<std::pair<double, Slot*>> nearest;
+/// Sets the GPUs that each slot keeps free, so that the headroom exists or, where there is too
+/// little room, comes to exist as work ends. The headroom is assigned to the few machines with the
+/// most usable GPUs: spread over all machines it would never have room for a large task.
+void assign_headroom(std::vector<Slot>& slots, const Fit& fit) {
+  std::vector<std::pair<double, Slot*>> candidates;
   for (auto& slot : slots) {
-    slot.held_gpus = 0;
-    if (held_gpus(slot, 0, fit.reserve, fit.cpu_per_gpu))
-      nearest.emplace_back(usable_gpus(slot.free, fit.cpu_per_gpu), &slot);
+    slot.headroom_gpus = 0;
+    if (headroom_gpus_on(slot, 0, fit.reserve, fit.cpu_per_gpu))
+      candidates.emplace_back(usable_gpus(slot.free, fit.cpu_per_gpu), &slot);
   }
-  // The headroom takes few of many machines: a heap, not all of them sorted. Equal ones in the
-  // order of the slots.
-  const auto farther = [](const auto& a, const auto& b) {
+  // The headroom takes few of many machines, so a heap is cheaper than sorting all of them.
+  // Machines with equally many usable GPUs are taken in the order of the slots.
+  const auto lower_priority = [](const auto& a, const auto& b) {
     return a.first != b.first ? a.first < b.first : a.second > b.second;
   };
-  std::make_heap(nearest.begin(), nearest.end(), farther);
+  std::make_heap(candidates.begin(), candidates.end(), lower_priority);
   double left = fit.reserve.gpus;
-  for (auto end = nearest.end(); left > 0 && end != nearest.begin(); --end) {
-    std::pop_heap(nearest.begin(), end, farther);
+  for (auto end = candidates.end(); left > 0 && end != candidates.begin(); --end) {
+    std::pop_heap(candidates.begin(), end, lower_priority);
     Slot* slot = (end - 1)->second;
-    slot->held_gpus = held_gpus(*slot, left, fit.reserve, fit.cpu_per_gpu).value_or(0);
-    left -= slot->held_gpus;
+    slot->headroom_gpus = headroom_gpus_on(*slot, left, fit.reserve, fit.cpu_per_gpu).value_or(0);
+    left -= slot->headroom_gpus;
   }
 }
 
-/// Types and zones are few and machines many: what a type or zone allows is worked out once a call.
-class Memo {
+/// Remembers, for one call of `select_slot`, whether each type or zone is allowed: there are few
+/// types and zones, but many machines.
+class AllowedCache {
  public:
-  template <class Work>
-  bool operator()(const void* key, Work work) {
+  template <class Check>
+  bool operator()(const void* key, Check check) {
     for (const auto& [known_key, allowed] : known_)
       if (known_key == key) return allowed;
-    known_.emplace_back(key, work());
+    known_.emplace_back(key, check());
     return known_.back().second;
   }
 
@@ -200,29 +203,32 @@
   std::vector<std::pair<const void*, bool>> known_;
 };
 
-// CPUs beside free GPUs are kept for them: a task without GPUs must not strand the GPUs.
+// Returns whether a task without GPUs would take CPUs that the slot's free GPUs need: without them,
+// no task could use these GPUs.
 bool strands_gpus(const JobSpec& spec, const Slot& slot, double cpu_per_gpu) {
   return spec.per_task.gpus == 0 && slot.type->size.gpus > 0 &&
          slot.free.cpus - spec.per_task.cpus + store::Resources::kSlack <
              slot.free.gpus * cpu_per_gpu;
 }
 
+// Returns whether the slot still has the GPUs that it keeps free for the headroom, and the CPUs for
+// them, once the task is placed there.
 bool keeps_headroom(const JobSpec& spec, const Slot& slot, double cpu_per_gpu) {
-  if (slot.held_gpus <= 0) return true;
+  if (slot.headroom_gpus <= 0) return true;
   store::Resources after = slot.free;
   after.add(spec.per_task, -1);
-  return usable_gpus(after, cpu_per_gpu) + store::Resources::kSlack >= slot.held_gpus;
+  return usable_gpus(after, cpu_per_gpu) + store::Resources::kSlack >= slot.headroom_gpus;
 }
 
-// The score of a slot whose machine has to fetch the image first, in seconds: fetches dominate
-// starts.
-double with_fetch(double score, const JobSpec& spec, const Slot& slot, double start_within_s) {
-  constexpr double kLeastFetchRate = 0.01;  // GB/s
+// Returns the score of a slot whose machine has to fetch the image first. The fetch time in seconds
+// is added to the score, as fetches dominate the time to start.
+double add_fetch_cost(double score, const JobSpec& spec, const Slot& slot, double start_within_s) {
+  constexpr double kMinFetchRate = 0.01;  // GB/s
   constexpr double kLateStartPenalty = 20;
-  const double fetch_s = spec.image_gb / std::max(kLeastFetchRate, slot.type->fetch_gb_per_s);
+  const double fetch_s = spec.image_gb / std::max(kMinFetchRate, slot.type->fetch_gb_per_s);
   score += fetch_s;
-  // The rest of the time goes into accepting and writing: a fetch of half of it makes the start
-  // late, which no better packing is worth.
+  // The other half of the time goes into accepting the job and writing its record: a fetch that
+  // takes longer than half makes the start late, which no better packing is worth.
   if (start_within_s > 0 && fetch_s > start_within_s / 2) score += kLateStartPenalty;
   return score;
 }
@@ -235,9 +241,9 @@
 
 Slot* select_slot(const JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots,
                   const Fit& fit) {
-  const bool bound = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
-  if (bound) hold_back(slots, fit);
-  Memo types, zones;
+  const bool headroom_applies = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
+  if (headroom_applies) assign_headroom(slots, fit);
+  AllowedCache types, zones;
   const auto image = fit.images ? fit.images->id(spec.image) : std::nullopt;
   Slot* best = nullptr;
   double best_score = 0;
@@ -248,12 +254,12 @@
         !zones(slot.zone, [&] { return zone_allowed(spec, *slot.zone, placed); }))
       continue;
     if (fit.avoid && !fit.avoid->empty() && fit.avoid->count(slot.machine)) continue;
-    if (fit.held && fit.held->count(slot.machine)) continue;
+    if (fit.reserved_for_others && fit.reserved_for_others->count(slot.machine)) continue;
     if (!fit.strand_gpus && strands_gpus(spec, slot, fit.cpu_per_gpu)) continue;
-    if (bound && !keeps_headroom(spec, slot, fit.cpu_per_gpu)) continue;
+    if (headroom_applies && !keeps_headroom(spec, slot, fit.cpu_per_gpu)) continue;
     double score = placement_score(spec, slot);
     if (fit.images && !holds(slot.images, image))
-      score = with_fetch(score, spec, slot, fit.start_within_s);
+      score = add_fetch_cost(score, spec, slot, fit.start_within_s);
     if (!best || score < best_score) {
       best = &slot;
       best_score = score;
@@ -265,7 +271,7 @@
 std::vector<std::pair<std::string, store::Resources>> bin_pack(const JobSpec& spec, uint32_t tasks,
                                                                const std::vector<Slot>& slots,
                                                                const std::set<std::string>& avoid) {
-  std::vector<std::pair<uint32_t, const Slot*>> capacities;  // tasks that fit on each slot
+  std::vector<std::pair<uint32_t, const Slot*>> capacities;  // Tasks that fit on each slot.
   for (const auto& slot : slots) {
     const bool allowed = kind_allowed(spec, slot.spot) && type_allowed(spec, slot.type->name) &&
                          (!spec.zone || *spec.zone == *slot.zone) && !avoid.count(slot.machine);
--- a/src/coordination/scheduling/placement_limits.cpp
+++ b/src/coordination/scheduling/placement_limits.cpp
@@ -6,13 +6,15 @@
 namespace rushtrestle::coordination {
 
 namespace {
-// The times of the last start and of the cooldown, and the writer's mark.
+// Fields that a record gets after its size is taken: the times of its last start and of its
+// cooldown, and the writer's mark.
 constexpr size_t kBytesAddedLater = 160;
-// Of [1, "n-000001", 1, 0] and the comma after it, beside its values.
+// Size of a stored placement such as [1, "n-000001", 1, 0] and the comma after it, less its task,
+// machine id and attempt.
 constexpr size_t kPunctuationBytes = 13;
 constexpr double kBytesPerKilobyte = 1024;
 constexpr int kConditionsPerOperation = 4;
-constexpr int kOtherConditions = 2;  // the job's key and the shard's
+constexpr int kOtherConditions = 2;  // On the job's key and on the shard's.
 
 size_t digits(uint64_t number) { return std::to_string(number).size(); }
 }  // namespace
@@ -31,9 +33,9 @@
     longest_machine_id_ = std::max(longest_machine_id_, id.size());
 }
 
-// A record must stay below value_kb: the number of tasks placed at once is bound by it, and since
-// the lowest tasks start first, so is the number of holes among the done ones. What a task's end
-// adds is less than its placement took.
+// A stored record must stay below `value_kb` (KB). This limits the number of tasks placed at once
+// and, as the lowest tasks start first, also the number of gaps in the set of done tasks. The end
+// of a task adds less to the record than its placement took.
 uint32_t PlacementLimits::room_in_record(const store::JobRecord& record) const {
   const uint32_t tasks = record.spec.tasks;
   const size_t placement_size =
@@ -41,7 +43,7 @@
   const size_t taken = store::stored_size(to_json(record)) + kBytesAddedLater;
   const auto limit = static_cast<size_t>(context_.settings.value_kb * kBytesPerKilobyte);
   if (taken < limit) return static_cast<uint32_t>((limit - taken) / placement_size);
-  return record.placed.empty() ? 1 : 0;  // however long its description, one task at a time
+  return record.placed.empty() ? 1 : 0;  // A job with a long description runs one task at a time.
 }
 
 size_t PlacementLimits::most_new_machines() const {
--- a/src/coordination/scheduling/placement_limits.h
+++ b/src/coordination/scheduling/placement_limits.h
@@ -1,4 +1,4 @@
-// How many placements fit into a job's stored record and into one write of it. Called by the
+// Limits how many placements fit into a job's stored record and into one write of it. Called by the
 // scheduler and the gang scheduler.
 #pragma once
 #include <cstddef>
@@ -8,8 +8,8 @@
 
 namespace rushtrestle::coordination {
 
-/// The first task from `from` on that is neither done nor placed; the number of tasks if there is
-/// none.
+/// Returns the first task from `from` on that is neither done nor placed, or the number of tasks if
+/// there is none.
 uint32_t next_pending_task(const store::JobRecord& record, uint32_t from);
 
 class PlacementLimits {
@@ -17,14 +17,14 @@
   PlacementLimits(const Context& context, const ShardState& state)
       : context_(context), state_(state) {}
 
-  /// To be called at the begin of a scheduling pass: `room_in_record` counts on the longest machine
-  /// id that there is now.
+  /// Must be called at the start of each scheduling pass: `room_in_record` assumes that each
+  /// machine's id is as long as the longest one of the pass.
   void measure_machine_ids();
-  /// How many more placements the stored record can hold.
+  /// Returns how many more placements the stored record can hold.
   uint32_t room_in_record(const store::JobRecord& record) const;
-  /// A placement is conditioned on its machine's record, and a transaction takes four conditions an
-  /// operation; the job's and the shard's keys count, too. So one write places on at most so many
-  /// machines that are new to the job.
+  /// Returns on how many machines that are new to the job one write can place tasks. Each placement
+  /// is conditioned on its machine's record, and a transaction takes at most four conditions per
+  /// operation, two of which are on the job's and the shard's keys.
   size_t most_new_machines() const;
 
  private:
--- a/src/coordination/scheduling/preemptor_reservations.h
+++ b/src/coordination/scheduling/preemptor_reservations.h
@@ -1,4 +1,5 @@
-// Room that a committed requeue frees for its preemptor, kept from others until that is placed.
+// Resources that a committed requeue frees for the preempting job. They are kept from other jobs
+// until that job is placed or the reservation expires.
 #pragma once
 #include <string>
 #include <vector>
@@ -8,10 +9,10 @@
 namespace rushtrestle::coordination {
 
 struct PreemptorReservation {
-  std::string job;
+  std::string job;  // The preempting job.
   std::string machine;
   store::Resources room;
-  double until = 0;
+  double until = 0;  // Steady time in seconds at which the reservation expires.
 };
 
 class PreemptorReservations {
@@ -19,12 +20,13 @@
   void add(PreemptorReservation reservation) { reservations_.push_back(std::move(reservation)); }
   bool has(const std::string& job) const;
   void remove_job(const std::string& job);
-  /// Removes the reservations for which `gone` holds.
+  /// Removes the reservations for which `should_remove` returns true.
   template <class Predicate>
-  void remove_if(Predicate gone) {
-    std::erase_if(reservations_, gone);
+  void remove_if(Predicate should_remove) {
+    std::erase_if(reservations_, should_remove);
   }
   const std::vector<PreemptorReservation>& all() const { return reservations_; }
+  /// Removes the reservations that expired before `now`.
   void expire(double now);
 
  private:
--- a/src/coordination/scheduling/quota.h
+++ b/src/coordination/scheduling/quota.h
@@ -1,5 +1,5 @@
-// What teams may use, and how much of their share they use, in the shards of this controller.
-// Called by the scheduler and the modules that look for room.
+// Checks teams' quotas and computes their load, over the shards that this controller leads. Called
+// by the scheduler and the modules that search for free resources.
 #pragma once
 #include <string>
 
@@ -11,10 +11,12 @@
  public:
   TeamQuotas(const Context& context, ShardState& state) : context_(context), state_(state) {}
 
-  /// May the team use that much more than now? Not so for an unknown team.
+  /// Returns whether the team may use `more` resources in addition to what it uses now; false for
+  /// an unknown team.
   bool within_quota(const std::string& team, const store::Resources& more) const;
-  /// What the team uses, as a part of its guarantee and by its share; for best-effort teams, by
-  /// what they use. Higher than that of any other for an unknown team.
+  /// Returns the larger of the team's CPU and GPU usage relative to its guarantee, divided by its
+  /// share. Best-effort teams have no guarantee: their load is the larger of their CPUs and GPUs in
+  /// use, divided by their share. An unknown team has a higher load than any other.
   double team_load(const std::string& team);
 
  private:
--- a/src/coordination/scheduling/slot_finder.cpp
+++ b/src/coordination/scheduling/slot_finder.cpp
@@ -8,7 +8,8 @@
 namespace rushtrestle::coordination {
 
 namespace {
-constexpr double kLeastFetchRate = 0.01;  // GB/s; a type without a rate must not divide by zero
+// In GB/s. Avoids a division by zero for a machine type without a fetch rate.
+constexpr double kMinFetchRate = 0.01;
 }  // namespace
 
 ZoneCounts zones_of(const store::JobRecord& record, const store::StateCache& state_cache) {
@@ -18,7 +19,8 @@
   return zones;
 }
 
-bool SlotFinder::takes_work(const ShardMachine& machine, const store::MachineRecord& record) const {
+bool SlotFinder::accepts_tasks(const ShardMachine& machine,
+                               const store::MachineRecord& record) const {
   return record.usable() && machine.known && !machine.quarantined() && !machine.notice_s &&
          !machine.marking_for_deletion && !machine.record_write_queued &&
          machine.commands_failing_since <= 0 && state_.sends_heartbeats(machine);
@@ -28,7 +30,7 @@
   std::vector<Slot> slots;
   for (const auto& [id, machine] : state_.machines()) {
     const auto* durable = state_cache_.machine(id);
-    if (machine.shard != shard || !durable || !takes_work(machine, durable->record)) continue;
+    if (machine.shard != shard || !durable || !accepts_tasks(machine, durable->record)) continue;
     const auto& record = durable->record;
     const auto* type = state_cache_.type(record.type);
     if (!type) continue;
@@ -45,8 +47,8 @@
 std::string SlotFinder::placement_class_of(ShardJob& job) const {
   if (!job.avoid.empty()) return "";
   const auto& spec = job.desired.spec;
-  // Once a job: written anew for each job in each pass it was a quarter of a pass with thousands
-  // waiting.
+  // The text is built once for each job: with thousands of jobs waiting, building it anew in each
+  // pass took a quarter of the pass.
   if (job.placement_shape.empty())
     job.placement_shape = spec.job_class + "|" + spec.team + "|" + placement_shape(spec);
   std::string result = job.placement_shape;
@@ -63,7 +65,7 @@
   fit.images = &images_;
   fit.avoid = &job.avoid;
   if (const GangReservation* reservation = gang_reservations_.reservation_against(job))
-    fit.held = &reservation->machines;
+    fit.reserved_for_others = &reservation->machines;
   fit.reserve = conditions_.headroom;
   fit.spot_only =
       conditions_.production_waits && can_wait_for_spot(record, context_.settings, context_.wall);
@@ -73,52 +75,56 @@
   return fit;
 }
 
-// CPUs beside free GPUs are kept for work with GPUs only as long as there are others, and only
-// where that does not make a start late for its image: where CPUs are what is short, an idle GPU
-// costs less than a service that is down.
+// Keeps the CPUs that free GPUs need for tasks with GPUs only as long as there are other CPUs, and
+// only if the image fetch on the other machine doesn't make the start late: where CPUs are scarce,
+// an idle GPU costs less than a service that is down.
 Slot* SlotFinder::select_slot_for(const ShardJob& job, const ZoneCounts& zones,
                                   std::vector<Slot>& slots) const {
   Fit fit = placement_request_for(job);
   const auto& spec = job.desired.spec;
   const auto starts_late = [&](const Slot& slot) {
     return fit.start_within_s > 0 && !images_.has(slot.machine, spec.image) &&
-           spec.image_gb / std::max(kLeastFetchRate, slot.type->fetch_gb_per_s) >
+           spec.image_gb / std::max(kMinFetchRate, slot.type->fetch_gb_per_s) >
                fit.start_within_s / 2;
   };
-  Slot* beside_kept_cpus = select_slot(spec, zones, slots, fit);
-  if (spec.per_task.gpus > 0 || (beside_kept_cpus && !starts_late(*beside_kept_cpus)))
-    return beside_kept_cpus;
+  Slot* with_cpus_kept = select_slot(spec, zones, slots, fit);
+  if (spec.per_task.gpus > 0 || (with_cpus_kept && !starts_late(*with_cpus_kept)))
+    return with_cpus_kept;
   fit.strand_gpus = true;
-  Slot* anywhere = select_slot(spec, zones, slots, fit);
-  return !beside_kept_cpus || (anywhere && !starts_late(*anywhere)) ? anywhere : beside_kept_cpus;
+  Slot* without_cpus_kept = select_slot(spec, zones, slots, fit);
+  return !with_cpus_kept || (without_cpus_kept && !starts_late(*without_cpus_kept))
+             ? without_cpus_kept
+             : with_cpus_kept;
 }
 
 std::optional<PlannedRoom> SlotFinder::room_for_whole(const ShardJob& job,
                                                       std::vector<Slot>& slots) const {
   const ZoneCounts zones = zones_of(job.desired, state_cache_);
   const auto& spec = job.desired.spec;
-  if (!spec.one_zone || spec.zone || !zones.empty()) return room_beside(job, zones, slots);
-  // The first task's place decides the zone; what is best for it alone may have no room for the
-  // rest.
+  if (!spec.one_zone || spec.zone || !zones.empty())
+    return room_for_missing_tasks(job, zones, slots);
+  // The first task's machine decides the zone for all, and the best zone for the first task may
+  // have no room for the rest. So each zone is tried.
   ShardJob bound_to_zone = job;
   for (const auto& zone : context_.settings.zones) {
     bound_to_zone.desired.spec.zone = zone;
-    if (auto planned_room = room_beside(bound_to_zone, zones, slots)) return planned_room;
+    if (auto planned_room = room_for_missing_tasks(bound_to_zone, zones, slots))
+      return planned_room;
   }
   return std::nullopt;
 }
 
-std::optional<PlannedRoom> SlotFinder::room_beside(const ShardJob& job, ZoneCounts zones,
-                                                   std::vector<Slot>& slots) const {
+std::optional<PlannedRoom> SlotFinder::room_for_missing_tasks(const ShardJob& job, ZoneCounts zones,
+                                                              std::vector<Slot>& slots) const {
   const auto& spec = job.desired.spec;
   const uint32_t missing_tasks =
       spec.tasks - job.desired.done.size() - static_cast<uint32_t>(job.desired.placed.size());
-  store::Resources more;
+  store::Resources requested;
   PlannedRoom planned_room;
-  SlotRollback rollback;  // to the bit: the picture serves the next trial, too
+  SlotRollback rollback;  // Restores the slots bit for bit, as the next trial uses them, too.
   for (uint32_t i = 0; i < missing_tasks; ++i) {
-    more.add(spec.per_task);
-    if (!quotas_.within_quota(spec.team, more)) return std::nullopt;
+    requested.add(spec.per_task);
+    if (!quotas_.within_quota(spec.team, requested)) return std::nullopt;
     Slot* slot = select_slot_for(job, zones, slots);
     if (!slot) return std::nullopt;
     rollback.record(*slot);
--- a/src/coordination/scheduling/slot_finder.h
+++ b/src/coordination/scheduling/slot_finder.h
@@ -1,7 +1,7 @@
-// Finds room for tasks and for whole jobs on the machines of a shard: builds the picture of their
-// free room, and applies the conditions of the scheduling pass to each search.
+// Finds machines for single tasks and for whole jobs in a shard: takes the snapshot of the
+// machines' free resources, and applies the conditions of the scheduling pass to each search.
 //
-// Invariant: a search leaves the picture as it was, to the bit. Called by the scheduler, the gang
+// Invariant: a search leaves the snapshot bit for bit as it was. Called by the scheduler, the gang
 // scheduler and the requeue action.
 #pragma once
 #include <optional>
@@ -14,17 +14,17 @@
 
 namespace rushtrestle::coordination {
 
-/// Where the tasks of a job would go: machine and room, an entry a task.
+/// Machine and resources for each task of a job that would be placed.
 using PlannedRoom = std::vector<std::pair<std::string, store::Resources>>;
 
-/// What holds for all searches until the next scheduling pass.
+/// Conditions that apply to all searches until the next scheduling pass.
 struct PassConditions {
-  double cpu_per_gpu = 0;         // the most that a task of any job takes
-  CapacityHeadroom headroom;      // room with GPUs kept for work that can run nowhere else
-  bool production_waits = false;  // a job waits that may not be preempted
+  double cpu_per_gpu = 0;         // The most CPUs per GPU that a task of any job takes.
+  CapacityHeadroom headroom;      // GPU capacity kept free for work that can't use spot machines.
+  bool production_waits = false;  // A job that may not be preempted waits.
 };
 
-/// Tasks of the job by zone of their machine.
+/// Returns the number of the job's placed tasks in each zone.
 ZoneCounts zones_of(const store::JobRecord& record, const store::StateCache& state_cache);
 
 class SlotFinder {
@@ -42,22 +42,25 @@
 
   void begin_pass(const PassConditions& conditions) { conditions_ = conditions; }
 
-  /// Machines of the shard that take work now, with their free room, less what is reserved for
-  /// preemptors. Sorted by machine id.
+  /// Returns the machines of the shard that accept tasks now, with their free resources less what
+  /// is reserved for preemptors. Sorted by machine id.
   std::vector<Slot> slots(int shard) const;
-  /// Jobs of the same placement class fit or don't fit alike. Empty: this one is like no other.
+  /// Returns the job's placement class: if a task of one job finds no slot, no job of the same
+  /// class finds one. Empty: no other job is known to be equivalent.
   std::string placement_class_of(ShardJob& job) const;
-  /// The best slot for one more task of the job, whose tasks are in `zones` so far; null: none.
+  /// Returns the best slot for one more task of the job, or null if there is none. `zones` counts
+  /// the job's tasks that are placed so far.
   Slot* select_slot_for(const ShardJob& job, const ZoneCounts& zones,
                         std::vector<Slot>& slots) const;
-  /// Where all that the job lacks would go; none: it does not fit whole. The slots are as before.
+  /// Returns where all missing tasks of the job would go; none: they don't all fit. Leaves the
+  /// slots as they were.
   std::optional<PlannedRoom> room_for_whole(const ShardJob& job, std::vector<Slot>& slots) const;
 
  private:
-  bool takes_work(const ShardMachine& machine, const store::MachineRecord& record) const;
+  bool accepts_tasks(const ShardMachine& machine, const store::MachineRecord& record) const;
   Fit placement_request_for(const ShardJob& job) const;
-  std::optional<PlannedRoom> room_beside(const ShardJob& job, ZoneCounts zones,
-                                         std::vector<Slot>& slots) const;
+  std::optional<PlannedRoom> room_for_missing_tasks(const ShardJob& job, ZoneCounts zones,
+                                                    std::vector<Slot>& slots) const;
 
   const Context& context_;
   const store::StateCache& state_cache_;
--- a/src/coordination/scheduling/slot_index.cpp
+++ b/src/coordination/scheduling/slot_index.cpp
@@ -14,7 +14,7 @@
   groups_.clear();
   by_usable_gpus_.clear();
   changes_.clear();
-  held_ = {};
+  headroom_assignment_ = {};
 }
 
 SlotIndex::GroupKey SlotIndex::key_of(const Slot& slot) {
@@ -27,10 +27,10 @@
   group.by_cpus.emplace(slot.free.cpus, place);
   group.places.insert(place);
   if (slot.spot || slot.free.gpus <= 0) return;
-  UsableGroup& usable = by_usable_gpus_[usable_gpus(slot.free, cpu_per_gpu_)];
+  UsableGpuGroup& usable = by_usable_gpus_[usable_gpus(slot.free, cpu_per_gpu_)];
   usable.places.insert(place);
   ++usable.by_gpus[slot.free.gpus];
-  held_.known = false;
+  headroom_assignment_.valid = false;
 }
 
 void SlotIndex::erase(Place place) {
@@ -44,7 +44,7 @@
   usable->second.places.erase(place);
   --usable->second.by_gpus[slot.free.gpus];
   if (usable->second.places.empty()) by_usable_gpus_.erase(usable);
-  held_.known = false;
+  headroom_assignment_.valid = false;
 }
 
 SlotIndex::Place SlotIndex::add(const Slot& slot) {
@@ -66,7 +66,7 @@
 
 void SlotIndex::undo_to(size_t changes) {
   while (changes_.size() > changes) {
-    const ChangeMade& last = changes_.back();
+    const Change& last = changes_.back();
     erase(last.place);
     if (last.added) {
       slots_.pop_back();
@@ -79,120 +79,126 @@
   }
 }
 
-// As `select_slot` over a list holds back: on the slots with most usable GPUs, so that the headroom
-// exists or comes to exist as work ends.
-// Slots with as many usable GPUs hold as much, so they are counted and not looked at, but for the
-// last ones.
-void SlotIndex::hold_back(const CapacityHeadroom& reserve) {
-  const bool same =
-      held_.reserve.gpus == reserve.gpus && held_.reserve.gpus_per_task == reserve.gpus_per_task;
-  if (held_.known && same) return;
-  held_ = {true, reserve, -1, 0, {}};
-  const double piece = std::max(1.0, reserve.gpus_per_task);
-  double left = reserve.gpus;
+// Assigns the headroom to the same slots as the function `select_slot` does: those with the most
+// usable GPUs, so that the headroom exists or comes to exist as work ends. Slots with equally many
+// usable GPUs keep equally many free, so they are counted without a visit to each, except the last
+// ones.
+void SlotIndex::assign_headroom(const CapacityHeadroom& headroom) {
+  const bool same = headroom_assignment_.headroom.gpus == headroom.gpus &&
+                    headroom_assignment_.headroom.gpus_per_task == headroom.gpus_per_task;
+  if (headroom_assignment_.valid && same) return;
+  headroom_assignment_ = {true, headroom, -1, 0, {}};
+  const double chunk_gpus = std::max(1.0, headroom.gpus_per_task);
+  double left = headroom.gpus;
   for (auto group = by_usable_gpus_.cbegin(); left > 0 && group != by_usable_gpus_.cend();
        ++group) {
-    ++looked_at_;
+    ++visits_;
     const double usable = group->first;
-    const double each = std::max(piece, std::floor(usable / piece) * piece);
+    const double gpus_per_slot = std::max(chunk_gpus, std::floor(usable / chunk_gpus) * chunk_gpus);
     size_t count = 0;
     for (const auto& [gpus, slots] : group->second.by_gpus)
-      if (gpus + Resources::kSlack >= piece) count += slots;
-    const double all = each * static_cast<double>(count);
-    if (left < all + usable) return hold_last(reserve, left, group);
-    left -= all;
+      if (gpus + Resources::kSlack >= chunk_gpus) count += slots;
+    const double group_gpus = gpus_per_slot * static_cast<double>(count);
+    if (left < group_gpus + usable) return assign_last_headroom(headroom, left, group);
+    left -= group_gpus;
   }
 }
 
-void SlotIndex::hold_last(const CapacityHeadroom& reserve, double left,
-                          std::map<double, UsableGroup, std::greater<>>::const_iterator group) {
-  const double usable = held_.last_usable = group->first;
-  const double piece = std::max(1.0, reserve.gpus_per_task);
+void SlotIndex::assign_last_headroom(
+    const CapacityHeadroom& headroom, double left,
+    std::map<double, UsableGpuGroup, std::greater<>>::const_iterator group) {
+  const double usable = headroom_assignment_.last_usable = group->first;
+  const double chunk_gpus = std::max(1.0, headroom.gpus_per_task);
   auto place = group->second.places.begin();
-  // Those that hold as much as they can are counted, where each slot of the group is a place for
-  // one piece.
-  if (usable >= piece && left >= usable) {
-    const double each = std::floor(usable / piece) * piece;
-    const auto whole =
-        std::min(group->second.places.size(), static_cast<size_t>((left - usable) / each) + 1);
-    held_.end = *group->second.places.find_by_order(whole - 1) + 1;
-    left -= each * static_cast<double>(whole);
-    place = group->second.places.find_by_order(whole);
+  // If each slot of the group has room for at least one chunk, the slots that keep as many GPUs
+  // free as they can are counted without a visit to each.
+  if (usable >= chunk_gpus && left >= usable) {
+    const double gpus_per_slot = std::floor(usable / chunk_gpus) * chunk_gpus;
+    const auto full_slots = std::min(group->second.places.size(),
+                                     static_cast<size_t>((left - usable) / gpus_per_slot) + 1);
+    headroom_assignment_.end = *group->second.places.find_by_order(full_slots - 1) + 1;
+    left -= gpus_per_slot * static_cast<double>(full_slots);
+    place = group->second.places.find_by_order(full_slots);
   }
   while (left > 0) {
     for (; left > 0 && place != group->second.places.end(); ++place) {
-      ++looked_at_;
-      const auto held = held_gpus(slots_[*place], left, reserve, cpu_per_gpu_);
-      if (!held) continue;
-      held_.partly[*place] = *held;
-      left -= *held;
+      ++visits_;
+      const auto kept_gpus = headroom_gpus_on(slots_[*place], left, headroom, cpu_per_gpu_);
+      if (!kept_gpus) continue;
+      headroom_assignment_.partial[*place] = *kept_gpus;
+      left -= *kept_gpus;
     }
     if (left <= 0 || ++group == by_usable_gpus_.cend()) return;
     place = group->second.places.begin();
   }
 }
 
-double SlotIndex::held_on(Place place) const {
+double SlotIndex::headroom_on(Place place) const {
   const Slot& slot = slots_[place];
-  if (const auto partly = held_.partly.find(place); partly != held_.partly.end())
-    return partly->second;
+  if (const auto partial = headroom_assignment_.partial.find(place);
+      partial != headroom_assignment_.partial.end())
+    return partial->second;
   const double usable = usable_gpus(slot.free, cpu_per_gpu_);
-  const bool whole =
-      usable > held_.last_usable || (usable == held_.last_usable && place < held_.end);
-  return whole ? held_gpus(slot, usable, held_.reserve, cpu_per_gpu_).value_or(0) : 0;
+  const bool full =
+      usable > headroom_assignment_.last_usable ||
+      (usable == headroom_assignment_.last_usable && place < headroom_assignment_.end);
+  return full ? headroom_gpus_on(slot, usable, headroom_assignment_.headroom, cpu_per_gpu_)
+                    .value_or(0)
+              : 0;
 }
 
 bool SlotIndex::keeps_headroom(Place place, const JobSpec& spec) const {
-  const double held = held_on(place);
-  if (held <= 0) return true;
+  const double kept_gpus = headroom_on(place);
+  if (kept_gpus <= 0) return true;
   Resources after = slots_[place].free;
   after.add(spec.per_task, -1);
-  return usable_gpus(after, cpu_per_gpu_) + Resources::kSlack >= held;
+  return usable_gpus(after, cpu_per_gpu_) + Resources::kSlack >= kept_gpus;
 }
 
 std::optional<SlotIndex::Place> SlotIndex::best_with_gpus(const Group& group, const JobSpec& spec,
-                                                          bool bound) const {
+                                                          bool headroom_applies) const {
   const double most_cpus = group.by_cpus.rbegin()->first;
   if (most_cpus + Resources::kSlack < spec.per_task.cpus) return std::nullopt;
   for (const Place place : group.places) {
-    ++looked_at_;
-    if (spec.per_task.fits(slots_[place].free) && (!bound || keeps_headroom(place, spec)))
+    ++visits_;
+    if (spec.per_task.fits(slots_[place].free) &&
+        (!headroom_applies || keeps_headroom(place, spec)))
       return place;
   }
   return std::nullopt;
 }
 
 std::optional<SlotIndex::Place> SlotIndex::best_without_gpus(const Group& group,
-                                                             const JobSpec& spec, double least_cpus,
-                                                             bool bound) const {
-  const double from = least_cpus - 2 * Resources::kSlack;  // what fits exactly is looked at below
+                                                             const JobSpec& spec, double min_cpus,
+                                                             bool headroom_applies) const {
+  const double from = min_cpus - 2 * Resources::kSlack;  // The loop checks exact fits.
   for (auto it = group.by_cpus.lower_bound({from, 0}); it != group.by_cpus.end(); ++it) {
-    ++looked_at_;
+    ++visits_;
     const Slot& slot = slots_[it->second];
-    if (slot.free.cpus + Resources::kSlack < least_cpus || !spec.per_task.fits(slot.free)) continue;
-    if (!bound || keeps_headroom(it->second, spec)) return it->second;
+    if (slot.free.cpus + Resources::kSlack < min_cpus || !spec.per_task.fits(slot.free)) continue;
+    if (!headroom_applies || keeps_headroom(it->second, spec)) return it->second;
   }
   return std::nullopt;
 }
 
 std::optional<SlotIndex::Place> SlotIndex::select_slot(const JobSpec& spec,
                                                        const ZoneCounts& placed, const Fit& fit) {
-  const bool bound = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
-  if (bound) hold_back(fit.reserve);
+  const bool headroom_applies = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
+  if (headroom_applies) assign_headroom(fit.reserve);
   std::optional<Place> best;
   double best_score = 0;
   for (const auto& [key, group] : groups_) {
-    ++looked_at_;
+    ++visits_;
     const auto& [type, zone, spot, empty, pinned, gpus] = key;
     if (spec.per_task.gpus > gpus + Resources::kSlack || !kind_allowed(spec, spot) ||
         (fit.spot_only && !spot) || (fit.idle_room_only && !spot && !pinned) ||
         !type_allowed(spec, type->name) || !zone_allowed(spec, *zone, placed))
       continue;
     const bool keeps_gpus = !fit.strand_gpus && spec.per_task.gpus == 0 && type->size.gpus > 0;
-    const double least_cpus = spec.per_task.cpus + (keeps_gpus ? gpus * cpu_per_gpu_ : 0);
+    const double min_cpus = spec.per_task.cpus + (keeps_gpus ? gpus * cpu_per_gpu_ : 0);
     const bool by_gpus = type->size.gpus > 0 && spec.per_task.gpus > 0;
-    const auto place = by_gpus ? best_with_gpus(group, spec, bound)
-                               : best_without_gpus(group, spec, least_cpus, bound);
+    const auto place = by_gpus ? best_with_gpus(group, spec, headroom_applies)
+                               : best_without_gpus(group, spec, min_cpus, headroom_applies);
     if (!place) continue;
     const double score = placement_score(spec, slots_[*place]);
     if (best && (score > best_score || (score == best_score && *place > *best))) continue;
--- a/src/coordination/scheduling/slot_index.h
+++ b/src/coordination/scheduling/slot_index.h
@@ -1,5 +1,5 @@
-// The machines of a plan, indexed so that the best place for a task is found without looking at all
-// of them.
+// Indexes the machines of a plan, so that the best slot for a task is found without a scan of all
+// machines.
 #pragma once
 #include <deque>
 #include <ext/pb_ds/assoc_container.hpp>
@@ -16,92 +16,96 @@
 
 namespace rushtrestle::coordination {
 
-/// Gives the same place as the free `select_slot` over a list of the same slots, without images,
-/// avoided machines and machines of gang reservations.
+/// Finds the same slot as the function `select_slot` finds in a list of the same slots, but ignores
+/// images, avoided machines and machines reserved for gangs.
 ///
-/// Slots that differ in nothing but their number, their free CPUs and their free memory form a
-/// group. Within a group the best place for a task without GPUs is the one with the fewest CPUs
-/// left, and for a task with GPUs the first one, so a look at each group is enough. The number of
-/// groups depends on types, zones and GPUs of a machine, not on machines.
+/// Slots that differ only in their number, free CPUs and free memory form a group. Within a group,
+/// the best slot for a task without GPUs is the one with the fewest free CPUs that suffice, and for
+/// a task with GPUs the first one that suffices, so only one slot of each group is scored. The
+/// number of groups depends on the types, zones and GPUs per machine, not on the number of
+/// machines.
 class SlotIndex {
  public:
-  /// Number of a slot, in the order in which they were added.
+  /// Position of a slot in the order of addition.
   using Place = size_t;
 
-  /// Forgets all slots. `cpu_per_gpu`: CPUs that a task with GPUs takes beside each.
+  /// Removes all slots. `cpu_per_gpu`: CPUs that a task with GPUs takes for each GPU.
   void reset(double cpu_per_gpu);
   Place add(const Slot& slot);
   size_t size() const { return slots_.size(); }
   const Slot& at(Place place) const { return slots_[place]; }
 
-  /// The best slot for one more task of the job, or none. `fit.cpu_per_gpu` must be that of
-  /// `reset`.
+  /// Returns the best slot for one more task of the job, or none. `fit.cpu_per_gpu` must equal the
+  /// argument of `reset`.
   std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
                                    const Fit& fit);
-  /// A task is put there.
+  /// Places a task that takes these resources on the slot.
   void take(Place place, const store::Resources& room);
 
-  /// Groups and slots that were looked at so far: the work done, for tests of how it grows.
-  uint64_t looked_at() const { return looked_at_; }
+  /// Returns the number of groups and slots visited so far. Tests use it to check how the work
+  /// grows.
+  uint64_t visits() const { return visits_; }
 
-  /// Changes so far: slots added and tasks put.
+  /// Returns the number of changes so far: slots added and tasks placed.
   size_t changes() const { return changes_.size(); }
-  /// Takes back the last changes, to the bit.
+  /// Undoes the latest changes until only the first `changes` are left, and restores the old values
+  /// bit for bit.
   void undo_to(size_t changes);
 
  private:
-  /// Type, zone, spot, empty, pinned, free GPUs.
+  /// The fields are: type, zone, spot, empty, pinned, free GPUs.
   using GroupKey =
       std::tuple<const store::MachineType*, const std::string*, bool, bool, bool, double>;
   struct Group {
-    std::set<std::pair<double, Place>> by_cpus;  // free ones
+    std::set<std::pair<double, Place>> by_cpus;  // Sorted by free CPUs.
     std::set<Place> places;
   };
-  struct ChangeMade {
+  struct Change {
     Place place = 0;
     bool added = false;
     store::Resources free_before = {};
     bool empty_before = true;
   };
-  /// Ordinary slots with as many usable GPUs.
-  struct UsableGroup {
-    // Gives the n-th place without a walk.
+  /// On-demand slots with the same number of usable GPUs.
+  struct UsableGpuGroup {
+    // This tree finds the n-th slot in logarithmic time.
     __gnu_pbds::tree<Place, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
                      __gnu_pbds::tree_order_statistics_node_update>
         places;
-    std::map<double, size_t> by_gpus;  // number of them by free GPUs
+    std::map<double, size_t> by_gpus;  // Number of slots for each amount of free GPUs.
   };
-  /// Where the headroom is held back, as long as no slot with GPUs changes: on all slots with more
-  /// usable GPUs than `last_usable`, on those with as many that come before `end`, and on the ones
-  /// in `partly`.
-  struct HeldBack {
-    bool known = false;
-    CapacityHeadroom reserve;
+  /// Slots to which the headroom is assigned: all slots with more usable GPUs than `last_usable`,
+  /// those with exactly as many that come before `end`, and the slots in `partial`. Valid until a
+  /// slot with GPUs changes.
+  struct HeadroomAssignment {
+    bool valid = false;
+    CapacityHeadroom headroom;
     double last_usable = 0;
     Place end = 0;
-    std::map<Place, double> partly;
+    std::map<Place, double> partial;
   };
 
   static GroupKey key_of(const Slot& slot);
   void insert(Place place);
   void erase(Place place);
-  void hold_back(const CapacityHeadroom& reserve);
-  void hold_last(const CapacityHeadroom& reserve, double left,
-                 std::map<double, UsableGroup, std::greater<>>::const_iterator group);
-  double held_on(Place place) const;
+  void assign_headroom(const CapacityHeadroom& headroom);
+  void assign_last_headroom(const CapacityHeadroom& headroom, double left,
+                            std::map<double, UsableGpuGroup, std::greater<>>::const_iterator group);
+  double headroom_on(Place place) const;
   bool keeps_headroom(Place place, const store::JobSpec& spec) const;
   std::optional<Place> best_with_gpus(const Group& group, const store::JobSpec& spec,
-                                      bool bound) const;
+                                      bool headroom_applies) const;
   std::optional<Place> best_without_gpus(const Group& group, const store::JobSpec& spec,
-                                         double least_cpus, bool bound) const;
+                                         double min_cpus, bool headroom_applies) const;
 
   double cpu_per_gpu_ = 0;
   std::deque<Slot> slots_;
   std::map<GroupKey, Group> groups_;
-  std::map<double, UsableGroup, std::greater<>> by_usable_gpus_;  // ordinary slots with free GPUs
-  std::vector<ChangeMade> changes_;
-  HeldBack held_;
-  mutable uint64_t looked_at_ = 0;
+  // Holds the on-demand slots with free GPUs.
+  std::map<double, UsableGpuGroup, std::greater<>> by_usable_gpus_;
+  std::vector<Change> changes_;
+  HeadroomAssignment headroom_assignment_;
+  mutable uint64_t visits_ = 0;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/slot_rollback.h
+++ b/src/coordination/scheduling/slot_rollback.h
@@ -1,9 +1,9 @@
-// Undoes changes of free room on a picture of the machines.
+// Undoes changes of the free resources in a snapshot of the machines.
 //
-// Invariant: unless `keep` was called, each recorded slot has the free room of its first record
-// again once this object is destroyed, to the bit: the old values are put back, as adding and
-// subtracting the same room would leave rounding errors behind. Used by trials that share one
-// picture: the trial eviction, and the search for room for a whole job.
+// Invariant: unless `keep` was called, the destructor restores the free resources that each slot
+// had at its first call of `record`, bit for bit. It puts the old values back, as adding and
+// subtracting the same resources would leave rounding errors. Used by trials that share one
+// snapshot: the trial eviction, and the search for room for a whole job.
 #pragma once
 #include <vector>
 
@@ -21,10 +21,10 @@
       change->slot->free = change->free_before;
   }
 
-  /// To be called before each change of the slot's free room. The slot must outlive this object
-  /// unless `keep` is called.
+  /// Must be called before each change of the slot's free resources. The slot must outlive this
+  /// object unless `keep` is called.
   void record(Slot& slot) { changes_.push_back({&slot, slot.free}); }
-  /// The changes made so far stay.
+  /// Keeps the changes recorded so far.
   void keep() { changes_.clear(); }
 
  private:
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -34,8 +34,8 @@
   EXPECT_EQ(select_slot(task(2, 0), {}, slots, {0, &images, nullptr})->machine, "m2");
 }
 
-// A fetch of half a second lost to a fuller machine, and the start came after its objective of one
-// second.
+// Guards against a task going to a fuller machine without its image, where a fetch of half a second
+// makes it miss its objective to start within one second.
 TEST(Placement, AFetchThatMakesAStartLateOutweighsPacking) {
   ImageCaches images;
   images.used("m2", "i", 2, 50);
@@ -45,7 +45,7 @@
   slots[0].free.cpus = 40;
   slots[1].images = images.of("m2");
   auto t = task(2, 0);
-  t.image_gb = 2.4;  // 0.6 s
+  t.image_gb = 2.4;  // The fetch takes 0.6 s.
   Fit fit;
   fit.images = &images;
   EXPECT_EQ(select_slot(t, {}, slots, fit)->machine, "m1");
@@ -98,7 +98,7 @@
   EXPECT_EQ(select_slot(t, {}, slots, {0, nullptr, &avoid}), nullptr);
 }
 
-// scatter and oneZone exactly as the rules count them: at the moment of each start.
+// Checks the scatter and oneZone rules of zones as they are defined: at the start of each task.
 RC_GTEST_PROP(Placement, NoSequenceBreaksZoneRules, ()) {
   auto t = task(1, 0);
   t.tasks = *rc::gen::inRange<uint32_t>(1, 12);
@@ -134,7 +134,7 @@
     for (const auto& [machine, resources] : room) out.insert(machine);
     return out;
   };
-  auto job = task(2, 0);  // 8 to an empty machine of 16 CPUs, 1 to m1
+  auto job = task(2, 0);  // 8 tasks fit on an empty machine of 16 CPUs, 1 on m1.
   EXPECT_EQ(machines(bin_pack(job, 16, slots, {})).size(), 2u);
   EXPECT_EQ(bin_pack(job, 16, slots, {}).size(), 16u);
   EXPECT_EQ(machines(bin_pack(job, 9, slots, {"m0", "m2", "m3", "m4"})),
--- a/tests/slot_index_test.cpp
+++ b/tests/slot_index_test.cpp
@@ -1,4 +1,4 @@
-// The index of a plan's machines against the plain search over all of them.
+// Compares the index of a plan's machines with the linear search over all of them.
 #include "coordination/scheduling/slot_index.h"
 
 #include <gtest/gtest.h>
@@ -53,8 +53,8 @@
   return fit;
 }
 
-ptrdiff_t place_by_search(const store::JobSpec& spec, const ZoneCounts& zones,
-                          std::vector<Slot>& slots, const Fit& fit) {
+ptrdiff_t place_by_linear_search(const store::JobSpec& spec, const ZoneCounts& zones,
+                                 std::vector<Slot>& slots, const Fit& fit) {
   const Slot* slot = select_slot(spec, zones, slots, fit);
   return slot ? slot - slots.data() : -1;
 }
@@ -78,7 +78,7 @@
     const size_t changes_before = index.changes();
     const auto slots_before = slots;
     for (uint32_t task = 0; task < spec.tasks; ++task) {
-      const ptrdiff_t expected = place_by_search(spec, zones, slots, fit);
+      const ptrdiff_t expected = place_by_linear_search(spec, zones, slots, fit);
       const auto found = index.select_slot(spec, zones, fit);
       RC_ASSERT((found ? static_cast<ptrdiff_t>(*found) : -1) == expected);
       if (!found) break;
@@ -96,8 +96,9 @@
   }
 }
 
-// Two GPUs and the CPUs that their task takes: room that is kept for work that can run nowhere
-// else.
+// The slot has two free GPUs and 9 free CPUs. The headroom keeps both GPUs and the 8 CPUs that
+// their task takes for work that can't use spot machines, so a task without GPUs can take one CPU
+// only.
 TEST(SlotIndex, TheReserveKeepsWorkWithoutGpusAway) {
   const auto& gpu = types()[2];
   Slot slot{"", &gpu, &gpu.zones[0], false, {9, 2, 100}};
@@ -118,9 +119,9 @@
   EXPECT_TRUE(index.select_slot(spec, {}, fit));
 }
 
-// Looks at groups and slots for as many tasks as machines, of four shapes in turn, until the
-// machines are full.
-uint64_t looked_at_to_fill(size_t machines, double reserved_gpus) {
+// Returns how many groups and slots the index visits while it places eight tasks per machine, of
+// four shapes in turn; no task fits any more once the machines are full.
+uint64_t visits_to_fill(size_t machines, double headroom_gpus) {
   SlotIndex index;
   index.reset(4);
   for (size_t i = 0; i < machines; ++i) {
@@ -133,24 +134,23 @@
     spec.per_task = shapes[task % shapes.size()];
     Fit fit;
     fit.cpu_per_gpu = 4;
-    fit.reserve.gpus = reserved_gpus;
+    fit.reserve.gpus = headroom_gpus;
     if (const auto place = index.select_slot(spec, {}, fit)) index.take(*place, spec.per_task);
   }
-  return index.looked_at();
+  return index.visits();
 }
 
-// A search over all machines for each task took the leader of 4,000 machines more than its share of
-// a core.
+// Guards against a search over all machines for each task, which took the leader of a cluster of
+// 4,000 machines more than its share of a core.
 TEST(SlotIndex, TheWorkOfAPlanGrowsWithItsTasks) {
   constexpr size_t kFew = 500;
-  constexpr uint64_t kTimes = 8;
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 0), looked_at_to_fill(kFew, 0) * kTimes * 3 / 2);
-  // A reserve that stays, one that grows with the fleet, and one for which there is too little
-  // room.
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 20), looked_at_to_fill(kFew, 20) * kTimes * 3 / 2);
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, kFew * kTimes),
-            looked_at_to_fill(kFew, kFew) * kTimes * 3 / 2);
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 1e6), looked_at_to_fill(kFew, 1e6) * kTimes * 3 / 2);
+  constexpr uint64_t kGrowth = 8;
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 0), visits_to_fill(kFew, 0) * kGrowth * 3 / 2);
+  // The headroom is constant, grows with the fleet, or exceeds the fleet's capacity.
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 20), visits_to_fill(kFew, 20) * kGrowth * 3 / 2);
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, kFew * kGrowth),
+            visits_to_fill(kFew, kFew) * kGrowth * 3 / 2);
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 1e6), visits_to_fill(kFew, 1e6) * kGrowth * 3 / 2);
 }
 
 }  // namespace
