--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -53,12 +53,12 @@
   const uint64_t shard_token = membership_.shard_token(job->shard);
   if (!job->dirty() || !durable || shard_token == 0) return false;
   job->prepared_version = job->desired_version;
-  // A final state that is durable is never left, whatever was decided here since.
+  // A durable final status never changes, so it overrides what was decided here since.
   if (durable->record.final_state()) job->desired.status = durable->record.status;
   state_.update_pending(*job);
   prepared.expected = durable->mod_revision;
   prepared.value = to_json(job->desired);
-  // Too large to be stored: it is written once enough of its tasks have ended.
+  // A record that is too large for the state store is written once enough of its tasks have ended.
   if (state_store_.refuses(*prepared.value)) return false;
   prepared.preconditions.push_back({store::shard_key(job->shard), shard_token});
   add_preconditions(*job, durable->record, prepared);
@@ -70,12 +70,13 @@
   const auto must_be_unchanged = [&](const std::string& key) {
     prepared.preconditions.push_back({key, state_cache_.mod_revision_of(key)});
   };
-  // A job whose record is too large to be written again is cancelled by a write to a key of its own
-  // (JobService::write_cancellation): what was decided before the cancellation must not become
-  // durable after it.
+  // A job whose record is too large to be written again is cancelled through a separate key
+  // (JobService::write_cancellation). With this precondition, a change decided before the
+  // cancellation can't become durable after it.
   if (state_store_.oversized(to_json(durable)))
     must_be_unchanged(store::cancel_key(durable.spec.id));
-  // A new placement holds only if its machine was not offered or marked for deletion meanwhile.
+  // A new placement is applied only if its machine's record is unchanged: the machine may have been
+  // requested for reassignment or marked for deletion meanwhile.
   for (const auto& placement : job.desired.placed)
     if (!durable.same_placement(placement))
       must_be_unchanged(store::machine_key(placement.machine));
@@ -95,7 +96,7 @@
   job = state_.find_job(id);
   if (!job) return;
   queue_commands_for(*job);
-  if (outcome == WriteOutcome::unsettled) settle_by_writing(*job, mod_revision);
+  if (outcome == WriteOutcome::unsettled) supersede_unsettled_write(*job, mod_revision);
 }
 
 void JobRecordWriter::on_applied(const std::string& id, ShardJob& job) {
@@ -109,26 +110,29 @@
     state_.drop_job(id);
 }
 
-// A write without an answer may be carried out seconds later, and replace a record that the shard
-// leader has read and acted on meanwhile: tasks that were started by the record as it was ran on,
-// while the late write placed them elsewhere. Any write moves the mod revision, and only one of the
-// two can be applied; until then nothing is started (TaskReconciler::start_missing_tasks).
-void JobRecordWriter::settle_by_writing(ShardJob& job, uint64_t mod_revision) {
+// Queues a second write to settle an unanswered one. The state store may apply the unanswered write
+// seconds later, over a record that the shard leader has read and acted on: tasks started from that
+// record ran on while the late write placed them elsewhere. Either write changes the mod revision,
+// so only one of the two can be applied. Until then no task of the job is started
+// (TaskReconciler::start_missing_tasks).
+void JobRecordWriter::supersede_unsettled_write(ShardJob& job, uint64_t mod_revision) {
   job.unsettled_revision = mod_revision;
   enqueue(job.desired.spec.id, WriteCause::placement);
 }
 
-// What is durable now may be started, stopped or, where tasks have left, forgotten.
+// Queues commands for the machines of the job's placements, where tasks may now be started or
+// stopped, and for those that its tasks have left, where the tasks may be forgotten.
 void JobRecordWriter::queue_commands_for(ShardJob& job) {
   for (const auto& placement : job.desired.placed) dispatch_queue_.add(placement.machine);
-  dispatch_queue_.merge(job.left_machines);
-  job.left_machines.clear();
+  dispatch_queue_.merge(job.vacated_machines);
+  job.vacated_machines.clear();
 }
 
 void JobRecordWriter::reset_to_durable(const std::string& id) {
   ShardJob* job = state_.find_job(id);
   const auto* durable = state_cache_.job(id);
-  // Finished, and placed on no machine: what was decided here since can't become durable any more.
+  // The durable job is finished and has no placements, so no change decided here can become
+  // durable.
   if (state_cache_.finished_job(id)) state_.drop_job(id);
   if (!job || !durable) return;
   state_.replace_desired(*job, durable->record);
@@ -136,9 +140,9 @@
   state_.request_scheduling();
 }
 
-// The record may still place tasks on a machine that is deleted: the previous shard leader crashed
-// before it wrote that they were lost, or the write had no answer and the record was read again
-// after the deletion. Nothing would ever report those tasks, and their job would never end.
+// The record may still place tasks on a deleted machine: the previous shard leader crashed before
+// it wrote that they were lost, or that write got no answer and the record was read again after the
+// deletion. No worker would ever report those tasks, and their job would never end.
 void JobRecordWriter::drop_deleted_placements(const std::string& id) {
   ShardJob* job = state_.find_job(id);
   std::vector<uint32_t> lost_tasks;
@@ -148,7 +152,7 @@
       lost_tasks.push_back(placement.task);
   }
   if (lost_tasks.empty()) return;
-  for (const uint32_t task : lost_tasks) state_.unbind_lost_member(*job, task);
+  for (const uint32_t task : lost_tasks) state_.unbind_lost_task(*job, task);
   enqueue(id, WriteCause::placement);
 }
 
--- a/src/coordination/shard/job_record_writer.h
+++ b/src/coordination/shard/job_record_writer.h
@@ -1,10 +1,9 @@
-// Makes the desired records of jobs durable, and brings jobs back to what is durable when a write
-// could not be applied.
+// Writes the desired records of jobs to the state store, and resets a job to its durable record
+// when a write could not be applied.
 //
-// Invariant: a job's record is written under the condition that this controller still leads the
-// shard and that the record is the one that the change began from; a new placement also under the
-// condition that its machine's record did not change. Called by every module that changes a desired
-// record.
+// Invariant: each write is conditioned on this controller still leading the shard, on the durable
+// record that the change is based on and, for a new placement, on the machine's record being
+// unchanged. Called by every module that changes a desired record.
 #pragma once
 #include <functional>
 #include <string>
@@ -27,13 +26,14 @@
         state_(state),
         dispatch_queue_(dispatch_queue) {}
 
-  /// The desired record changed: it is to be written, as urgently as the cause demands.
+  /// Queues a write of the changed desired record with the cause's priority.
   void enqueue(const std::string& id, WriteCause cause);
-  /// Marks the selected tasks on the machine as to be stopped and enqueues their jobs' writes.
+  /// Marks the selected tasks on the machine as stopping, and queues the writes of their jobs.
   void stop_tasks(const ShardMachine& machine, const TaskFilter& to_stop);
-  /// Gives up what was planned since the record was last durable.
+  /// Discards the changes that are not durable. Drops the job if its durable record is finished.
   void reset_to_durable(const std::string& id);
-  /// Takes tasks off machines whose deletion the cloud has confirmed. The job must be ours.
+  /// Unbinds tasks from machines whose deletion the cloud has confirmed. The job must be in
+  /// ShardState.
   void drop_deleted_placements(const std::string& id);
 
  private:
@@ -42,7 +42,7 @@
                          Prepared& prepared) const;
   void on_written(const std::string& id, WriteOutcome outcome, uint64_t mod_revision);
   void on_applied(const std::string& id, ShardJob& job);
-  void settle_by_writing(ShardJob& job, uint64_t mod_revision);
+  void supersede_unsettled_write(ShardJob& job, uint64_t mod_revision);
   void queue_commands_for(ShardJob& job);
 
   Context& context_;
--- a/src/coordination/shard/machine_health.cpp
+++ b/src/coordination/shard/machine_health.cpp
@@ -8,18 +8,20 @@
 using store::MachineRecord;
 
 namespace {
-// A job that failed on a suspect machine is tried elsewhere in that time, in worker leases.
-constexpr double kSuspectLeases = 2;
-// Machines that may be silent in a zone, or marked for deletion at a time, in the smallest fleet.
-constexpr double kFewestForShare = 3;
+// Worker leases after which a suspect machine counts as faulty. Within them a job that failed on it
+// is tried on other machines.
+constexpr double kSuspectTimeoutLeases = 2;
+// Lower bound of two limits that grow with the fleet: silent machines in a zone, and machines
+// marked for deletion at a time.
+constexpr double kMinMachineLimit = 3;
 }  // namespace
 
-void MachineHealth::count_silent() {
-  silence_.clear();
+void MachineHealth::count_silent_machines() {
+  silence_by_zone_.clear();
   for (const auto& [id, machine] : state_.machines()) {
     const auto* durable = state_cache_.machine(id);
     if (!durable || machine.address.empty()) continue;
-    auto& zone = silence_[durable->record.zone];
+    auto& zone = silence_by_zone_[durable->record.zone];
     ++zone.machines;
     if (!state_.sends_heartbeats(machine)) ++zone.silent;
   }
@@ -27,10 +29,10 @@
 
 bool MachineHealth::correlated_silence(const ShardMachine& machine) const {
   const auto* durable = state_cache_.machine(machine.id);
-  const auto zone = durable ? silence_.find(durable->record.zone) : silence_.end();
-  return zone != silence_.end() &&
+  const auto zone = durable ? silence_by_zone_.find(durable->record.zone) : silence_by_zone_.end();
+  return zone != silence_by_zone_.end() &&
          zone->second.silent >
-             std::max(kFewestForShare, zone->second.machines * Tunables::kCorrelatedSilenceShare);
+             std::max(kMinMachineLimit, zone->second.machines * Tunables::kCorrelatedSilenceShare);
 }
 
 void MachineHealth::mark_for_deletion(ShardMachine& machine, const std::string& reason) {
@@ -48,12 +50,13 @@
 void MachineHealth::check(ShardMachine& machine) {
   const auto* durable = state_cache_.machine(machine.id);
   if (!durable || durable->record.terminating()) return;
-  // Jobs that failed on it may have become known good, or been cancelled, meanwhile.
+  // The jobs that failed on the machine may have become known good or been cancelled meanwhile,
+  // which can change the verdict.
   if (machine.verdict == MachineVerdict::suspect) failures_.judge(machine);
   if (proven_faulty(machine) && machine.placed.empty()) {
     mark_for_deletion(machine, "faulty");
   } else if (machine.address.empty()) {
-    check_boot(machine, durable->record);
+    check_boot_timeout(machine, durable->record);
   } else {
     check_reachability(machine);
   }
@@ -62,16 +65,16 @@
 bool MachineHealth::proven_faulty(const ShardMachine& machine) const {
   if (machine.verdict == MachineVerdict::faulty) return true;
   return machine.verdict == MachineVerdict::suspect &&
-         context_.now - machine.suspect_since > context_.settings.lease_s * kSuspectLeases;
+         context_.now - machine.suspect_since > context_.settings.lease_s * kSuspectTimeoutLeases;
 }
 
-// A machine whose worker has never reported its address.
-void MachineHealth::check_boot(ShardMachine& machine, const MachineRecord& durable) {
+// Marks a machine whose worker has not reported its address within the boot time-out.
+void MachineHealth::check_boot_timeout(ShardMachine& machine, const MachineRecord& durable) {
   const auto* type = state_cache_.type(durable.type);
-  const double patience_s =
+  const double boot_timeout_s =
       (type ? type->boot_s : context_.settings.lease_s) * Tunables::kBootPatience +
       context_.settings.lease_s;
-  if (context_.wall - durable.since > patience_s &&
+  if (context_.wall - durable.since > boot_timeout_s &&
       context_.now - machine.since > context_.settings.lease_s)
     mark_for_deletion(machine, "never_came_up");
 }
@@ -86,10 +89,11 @@
   if (suspected_partition(machine, reachability) &&
       reachability.longest_s() < context_.tunables.correlated_silence_limit_s)
     return;
-  // However sure it looks, only a few go at a time: a partition that peers don't see (one of them
-  // just restarted, say) would otherwise cost all the machines of a zone at the same moment.
+  // Even machines that are surely lost are marked only a few at a time: a partition that peers
+  // don't see (for example because one of them just restarted) would otherwise cost a zone all its
+  // machines at once.
   if (!deletion_budget_left() || machine.marking_for_deletion) return;
-  marked_for_deletion_at_.push_back(context_.now);
+  silence_marked_at_.push_back(context_.now);
   mark_for_deletion(machine, reachability.silent        ? "silent"
                              : reachability.unreachable ? "unreachable"
                                                         : "reaches_no_controller");
@@ -100,25 +104,27 @@
   const bool commands_fail = machine.commands_failing_since > 0;
   Reachability reachability;
   reachability.silent_s = context_.now - machine.last_seen;
-  // Unreachable is who sends heartbeats and gets no commands: silent machines, whose heartbeats
-  // came again with the end of a partition, were marked for deletion at that very moment for the
-  // commands that had failed in it.
+  // Only the time in which the worker is heard while its commands fail counts. With the failures
+  // during a silence counted as well, machines that were heard again at the end of a partition were
+  // marked for deletion at that moment.
   if (commands_fail)
     reachability.unreachable_s =
         context_.now - std::max(machine.commands_failing_since, machine.heard_since);
   reachability.unreported_s = context_.now - machine.last_heartbeat;
   reachability.silent = reachability.silent_s > limit_s && commands_fail;
   reachability.unreachable = reachability.unreachable_s > limit_s;
-  // Answers our commands, but reaches no controller: its lease has ended, and would again and
-  // again.
+  // The worker answers commands but reaches no controller, so its lease has ended, and every new
+  // lease would end as well.
   reachability.reaches_no_controller =
       reachability.unreported_s > context_.settings.lease_s && !commands_fail;
   return reachability;
 }
 
-// Cut off from this controller, not from others. It gets the answers to the heartbeats that they
-// forward, or its lease would end and its agent epoch with it; but nothing new can be started
-// there, so not for ever. A worker's attempt to reach us directly takes most of a lease.
+// Whether the machine is cut off from this controller but not from its peers. Its worker gets the
+// answers to the heartbeats that peers forward: otherwise its lease would end, and its agent epoch
+// would change. No new task can be started on it, so this holds for `forward_limit_s` at most. A
+// gap of one lease between forwarded heartbeats is allowed, as a worker's attempt to reach this
+// controller directly takes most of a lease.
 bool MachineHealth::reached_through_peers(const ShardMachine& machine,
                                           const Reachability& reachability) const {
   return context_.now - machine.forwarded_at < context_.settings.lease_s &&
@@ -126,7 +132,8 @@
          reachability.unreachable_s < context_.tunables.forward_limit_s;
 }
 
-// Peers that hear it, or many machines silent at once, point to the network, not to the machine.
+// A machine that a peer hears, or many machines of its zone silent at once, point to a fault of the
+// network and not of the machine.
 bool MachineHealth::suspected_partition(const ShardMachine& machine,
                                         const Reachability& reachability) const {
   const bool not_heard = reachability.silent || reachability.reaches_no_controller;
@@ -134,12 +141,12 @@
 }
 
 bool MachineHealth::deletion_budget_left() {
-  std::erase_if(marked_for_deletion_at_, [&](double marked_at) {
+  std::erase_if(silence_marked_at_, [&](double marked_at) {
     return context_.now - marked_at > context_.tunables.silence_limit_s;
   });
-  const double most = std::max(kFewestForShare, static_cast<double>(state_.machines().size()) *
-                                                    Tunables::kMarkForDeletionShare);
-  return static_cast<double>(marked_for_deletion_at_.size()) < most;
+  const double limit = std::max(kMinMachineLimit, static_cast<double>(state_.machines().size()) *
+                                                      Tunables::kMarkForDeletionShare);
+  return static_cast<double>(silence_marked_at_.size()) < limit;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/machine_health.h
+++ b/src/coordination/shard/machine_health.h
@@ -1,8 +1,9 @@
-// Finds machines that are lost, faulty or unreachable, and marks them for deletion.
+// Finds machines that are silent, unreachable or faulty, and marks them for deletion.
 //
-// Invariant: a machine is given up only for a silence that peers don't contradict or that lasts
-// very long, and only a few at a time: a partition of the network must not cost a zone's machines.
-// Called by ShardController, in rounds over all machines.
+// Invariant: a lost machine is marked only if nothing points to a network partition (a peer that
+// hears the machine, many silent machines in its zone) or after `correlated_silence_limit_s`, and
+// only a few are marked at a time: a partition must not cost a zone its machines. Called by
+// ShardController, in rounds over all machines.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -14,6 +15,7 @@
 
 namespace rushtrestle::coordination {
 
+/// Checks the health of the machines of the shards that this controller leads.
 class MachineHealth {
  public:
   MachineHealth(Context& context, store::StateCache& state_cache,
@@ -29,23 +31,25 @@
         machine_writer_(machine_writer),
         failures_(failures) {}
 
-  /// Counts the silent machines of each zone; to be called before a round of `check`.
-  void count_silent();
-  /// Probes the machine if it is silent, and marks it for deletion if it is given up.
+  /// Counts the silent machines of each zone. Called before each round of `check`.
+  void count_silent_machines();
+  /// Probes the machine if it is silent, and marks it for deletion if it is lost or faulty.
   void check(ShardMachine& machine);
 
  private:
+  /// Number of a zone's machines with a known address, and how many of them are silent.
   struct ZoneSilence {
     int machines = 0;
     int silent = 0;
   };
-  /// How long a machine has not been reached or heard, and which limits that exceeds.
+  /// For how many seconds a machine has not been heard or reached, and which limits this exceeds.
   struct Reachability {
-    /// Since the last newer heartbeat, however it came.
+    /// Since the last newer heartbeat: direct, forwarded or the answer to commands.
     double silent_s = 0;
-    /// For how long it has been heard though commands fail.
+    /// Since commands began to fail or, if later, since the worker was heard again; 0 if commands
+    /// are answered.
     double unreachable_s = 0;
-    /// Since the last heartbeat that the worker sent by itself.
+    /// Since the last heartbeat that the worker sent of its own accord.
     double unreported_s = 0;
     bool silent = false;
     bool unreachable = false;
@@ -55,13 +59,13 @@
     double longest_s() const { return std::max({silent_s, unreachable_s, unreported_s}); }
   };
 
-  void check_boot(ShardMachine& machine, const store::MachineRecord& durable);
+  void check_boot_timeout(ShardMachine& machine, const store::MachineRecord& durable);
   void check_reachability(ShardMachine& machine);
   bool proven_faulty(const ShardMachine& machine) const;
   Reachability reachability_of(const ShardMachine& machine) const;
   bool reached_through_peers(const ShardMachine& machine, const Reachability& reachability) const;
   bool suspected_partition(const ShardMachine& machine, const Reachability& reachability) const;
-  /// Fewer machines than the limit were marked for deletion of late because of silence.
+  /// Whether fewer machines than the limit were marked for silence within `silence_limit_s`.
   bool deletion_budget_left();
   bool correlated_silence(const ShardMachine& machine) const;
   void mark_for_deletion(ShardMachine& machine, const std::string& reason);
@@ -74,8 +78,9 @@
   DispatchQueue& dispatch_queue_;
   MachineRecordWriter& machine_writer_;
   FailureTracker& failures_;
-  std::map<std::string, ZoneSilence> silence_;  // by zone, as of the last count
-  std::vector<double> marked_for_deletion_at_;  // for silence, of late
+  std::map<std::string, ZoneSilence> silence_by_zone_;  // as of the last count
+  // Steady times in seconds of the marks for silence within the last `silence_limit_s`.
+  std::vector<double> silence_marked_at_;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/machine_record_writer.cpp
+++ b/src/coordination/shard/machine_record_writer.cpp
@@ -26,8 +26,8 @@
   state_store_.write(std::move(request));
 }
 
-// In a fleet that comes up at once these were a third of all writes, and work waited behind them:
-// hence their background priority.
+// Writes of addresses have background priority: when a whole fleet starts at once they were a third
+// of all writes, and work waited behind them.
 void MachineRecordWriter::record_address(ShardMachine& queued) {
   queued.address_queued = true;
   WriteRequest request;
@@ -37,12 +37,12 @@
     ShardMachine* machine = state_.find_machine(id);
     if (!machine) return false;
     machine->address_queued = false;
-    const auto take_over_address = [machine](MachineRecord& record) {
+    const auto set_reported_address = [machine](MachineRecord& record) {
       if (record.address == machine->address) return false;
       record.address = machine->address;
       return true;
     };
-    return prepare_change(id, take_over_address, prepared);
+    return prepare_change(id, set_reported_address, prepared);
   };
   request.done = [this, id = queued.id](WriteOutcome, uint64_t) { dispatch_queue_.add(id); };
   state_store_.write(std::move(request));
@@ -52,7 +52,8 @@
                                          Prepared& prepared) const {
   const auto* durable = state_cache_.machine(id);
   if (!state_.find_machine(id) || !durable || durable->record.terminating()) return false;
-  // The shard that the machine belongs to until the change is durable: the change may move it.
+  // The change may move the machine to another shard; until it is durable, the machine belongs to
+  // this one.
   const int shard = durable->record.shard;
   const uint64_t shard_token = membership_.shard_token(shard);
   MachineRecord record = durable->record;
--- a/src/coordination/shard/machine_record_writer.h
+++ b/src/coordination/shard/machine_record_writer.h
@@ -1,8 +1,8 @@
 // Writes the records of machines of the shards that this controller leads.
 //
 // Invariant: each write is conditioned on the shard's key, so that it fails if this controller no
-// longer leads the shard, and on the record that the change was made to. Called by the modules of
-// this package that decide on machines.
+// longer leads the shard, and on the durable record that the change is based on. Called by the
+// modules of this folder that decide about machines.
 #pragma once
 #include <functional>
 #include <string>
@@ -13,7 +13,8 @@
 
 class MachineRecordWriter {
  public:
-  /// Changes the record as it stands when the write leaves; false: there is nothing to write.
+  /// Changes the durable record, as it is when the write is sent. Returns false if there is nothing
+  /// to write.
   using Change = std::function<bool(store::MachineRecord&)>;
 
   MachineRecordWriter(store::StateCache& state_cache, StateStoreClient& state_store,
@@ -25,16 +26,17 @@
         state_(state),
         dispatch_queue_(dispatch_queue) {}
 
-  /// Queues a change of the machine's record. One write a machine at a time: while one waits,
-  /// another is passed over.
+  /// Queues a change of the machine's record, unless another change that `enqueue` queued for the
+  /// machine is still under way.
   void enqueue(const std::string& id, WriteCause cause, Change change);
-  /// Queues a write that brings the address that the worker reported into the record; it leaves
-  /// when the write budget allows.
+  /// Queues a write of the address that the worker reported; it is sent when the write budget
+  /// allows.
   void record_address(ShardMachine& machine);
 
  private:
-  /// Prepares the write of the changed record, conditioned on the record as it is durable and on
-  /// the shard's key. False: the machine is not ours or terminating, or there is nothing to write.
+  /// Prepares the write of the changed record, conditioned on the durable record and the shard's
+  /// key. Returns false if this controller does not lead the machine's shard, the machine is
+  /// terminating, or there is nothing to write.
   bool prepare_change(const std::string& id, const Change& change, Prepared& prepared) const;
 
   store::StateCache& state_cache_;
--- a/src/coordination/shard/reassignment_responder.cpp
+++ b/src/coordination/shard/reassignment_responder.cpp
@@ -22,9 +22,10 @@
   }
 }
 
-// The cluster leader takes the machine back, for a team within its guarantee or because its work
-// fits on fewer machines: what runs here is stopped, saved and queued again. For the latter alone
-// (no next shard) no work is lost: what can't save runs on.
+// Stops the machine's tasks, which save their progress if they can and are queued again. The
+// cluster leader takes the machine for a team within its guarantee, or to release it because the
+// work fits on fewer machines. A release (no next shard) must lose no work: tasks that can't save
+// run on.
 void ReassignmentResponder::drain(const ShardMachine& machine, const MachineRecord& durable) {
   const bool keep_progress = durable.next_shard < 0;
   job_writer_.stop_tasks(machine, [&](const JobRecord& job, const Placement& placement) {
@@ -33,11 +34,11 @@
   });
 }
 
-// A machine that is empty now and still when the write leaves is released or moved; any other is
-// kept.
-void ReassignmentResponder::write_answer(const ShardMachine& asked) {
-  const bool was_empty = asked.placed.empty();
-  const auto answer = [this, was_empty, id = asked.id](MachineRecord& record) {
+// Releases or moves a machine that is empty now and still is when the write is sent; keeps any
+// other.
+void ReassignmentResponder::write_answer(const ShardMachine& requested) {
+  const bool was_empty = requested.placed.empty();
+  const auto answer = [this, was_empty, id = requested.id](MachineRecord& record) {
     if (record.phase != MachinePhase::reassignment_requested) return false;
     const ShardMachine* machine = state_.find_machine(id);
     record.drain = false;
@@ -52,7 +53,7 @@
     record.next_shard = -1;
     return true;
   };
-  machine_writer_.enqueue(asked.id, WriteCause::machine_reassignment_answer, answer);
+  machine_writer_.enqueue(requested.id, WriteCause::machine_reassignment_answer, answer);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/reassignment_responder.h
+++ b/src/coordination/shard/reassignment_responder.h
@@ -1,15 +1,16 @@
-// Answers the cluster leader's requests for machines of our shards: an empty one is released or
-// moved, one with work that may be stopped is drained first, any other is kept. Called by
-// ShardController on each round over the machines.
+// Answers the cluster leader's requests to release or move machines of the shards that this
+// controller leads: an empty machine is released or moved, one whose work may be stopped is drained
+// first, and any other is kept. Called by ShardController in each round over the machines.
 //
-// Invariant: a machine is given away only if it is empty both at the decision and when the write of
-// the answer leaves.
+// Invariant: a machine is released or moved only if it is empty both at the decision and when the
+// write of the answer is sent.
 #pragma once
 #include "coordination/shard/job_record_writer.h"
 #include "coordination/shard/machine_record_writer.h"
 
 namespace rushtrestle::coordination {
 
+/// Decides on reassignment requests, and writes the answers to the machines' records.
 class ReassignmentResponder {
  public:
   ReassignmentResponder(store::StateCache& state_cache, ShardState& state,
@@ -19,7 +20,7 @@
         job_writer_(job_writer),
         machine_writer_(machine_writer) {}
 
-  /// Answers the request for this machine, if there is one.
+  /// Answers the reassignment request for this machine, if there is one.
   void answer_reassignment(ShardMachine& machine);
 
  private:
--- a/src/coordination/shard/shard_controller.cpp
+++ b/src/coordination/shard/shard_controller.cpp
@@ -34,7 +34,7 @@
                  preemptor_reservations_),
       requeue_(context, state_, job_writer_, scheduler_, preemptor_reservations_) {}
 
-// ---- shards come and go ----
+// ---- shards acquired and lost ----
 
 void ShardController::on_shard_acquired(int shard) {
   state_.shards().insert(shard);
@@ -54,7 +54,7 @@
                 [&](const auto& machine) { return machine.second.shard == shard; });
 }
 
-// ---- records change ----
+// ---- changed records ----
 
 void ShardController::adopt_job(const std::string& id, const JobRecord& record) {
   state_.add_job(id, record);
@@ -62,7 +62,7 @@
   state_.request_scheduling();
 }
 
-void ShardController::note_images(const JobRecord& record) {
+void ShardController::record_image_uses(const JobRecord& record) {
   for (const auto& placement : record.placed) {
     const auto* machine = state_cache_.machine(placement.machine);
     const auto* type = machine ? state_cache_.type(machine->record.type) : nullptr;
@@ -74,31 +74,32 @@
 void ShardController::on_job_changed(const std::string& id) {
   const JobRecord& durable = state_cache_.job(id)->record;
   const int shard = membership_.shard_of_team(durable.spec.team);
-  note_images(durable);
+  record_image_uses(durable);
   if (!state_.shards().count(shard)) return;
   ShardJob* job = state_.find_job(id);
-  const bool over = durable.final_state() && durable.placed.empty();
+  const bool finished = durable.final_state() && durable.placed.empty();
   if (!job) {
-    if (!over) adopt_job(id, durable);
+    if (!finished) adopt_job(id, durable);
     return;
   }
   apply_cancellation(*job, durable);
-  if (over && job->desired.placed.empty()) state_.drop_job(id);
+  if (finished && job->desired.placed.empty()) state_.drop_job(id);
   state_.request_scheduling();
 }
 
-// Only the shard leader writes the rest of the record; others may cancel the job.
+// The shard leader alone writes the job's record, except that other controllers may cancel the job.
 void ShardController::apply_cancellation(ShardJob& job, const JobRecord& durable) {
-  // Its last task may have ended here meanwhile: what a user was told stands all the same.
+  // The job's last task may have ended here meanwhile, but a cancellation that a user was told of
+  // stands.
   if (state_cache_.cancelled(durable.spec.id) && job.desired.status != JobStatus::cancelled) {
     job.desired.status = JobStatus::cancelled;
     state_.update_pending(job);
     for (const auto& placement : job.desired.placed) dispatch_queue_.add(placement.machine);
   }
   if (durable.status != JobStatus::cancelled) return;
-  // What the cancelled record does not place will never be durable, so it was not started. Not so
-  // for a cancellation that was only learned from peers: a write of ours without an answer may
-  // stand below it.
+  // A placement that the cancelled record lacks can never become durable, so its task was not
+  // started. This does not hold for a cancellation known only from peers: the state store may have
+  // applied an unanswered write of this controller before the cancellation.
   std::vector<uint32_t> never_started;
   for (const auto& placement : job.desired.placed)
     if (!durable.same_placement(placement)) never_started.push_back(placement.task);
@@ -124,10 +125,11 @@
 }
 
 void ShardController::on_machine_deleted(const std::string& id) {
-  // Written with their next placement, or after a pass that finds none: apart, the two writes of
-  // each of some hundreds of jobs took twice as long to leave when dozens of machines died at once.
+  // The loss of the tasks is written with their next placement, or after a scheduling pass that
+  // finds none. With separate writes for loss and placement, the writes of some hundreds of jobs
+  // took twice as long to be sent when dozens of machines were lost at once.
   for (const auto& [task, attempt] : state_.tasks_on(id)) {
-    state_.unbind_lost_member(*state_.find_job(task.first), task.second);
+    state_.unbind_lost_task(*state_.find_job(task.first), task.second);
     state_.jobs_that_lost_tasks().insert(task.first);
   }
   state_.machines().erase(id);
@@ -135,10 +137,10 @@
   state_.request_scheduling();
 }
 
-// ---- the clock ----
+// ---- periodic work ----
 
 void ShardController::check_machines() {
-  health_.count_silent();
+  health_.count_silent_machines();
   std::vector<std::string> ids;
   for (const auto& [id, machine] : state_.machines()) ids.push_back(id);
   for (const auto& id : ids) {
@@ -176,7 +178,7 @@
 void ShardController::work() {
   const bool scheduling_due = state_.scheduling_requested() && context_.now >= next_schedule_;
   if (scheduling_due && may_act(state_store_)) {
-    state_.scheduling_began();
+    state_.clear_scheduling_request();
     next_schedule_ = context_.now + context_.settings.heartbeat_interval_s / 50;
     for (const int shard : state_.shards())
       if (membership_.shard_token(shard) != 0) scheduler_.schedule(shard);
--- a/src/coordination/shard/shard_controller.h
+++ b/src/coordination/shard/shard_controller.h
@@ -1,5 +1,5 @@
-// Leads shards: takes up their jobs and machines when a shard is acquired, gives them up when it is
-// lost, and ties the modules that place tasks, command workers and watch over machines.
+// Leads shards: loads a shard's jobs and machines when the shard is acquired, drops them when it is
+// lost, and connects the modules that place tasks, command workers and check machines.
 #pragma once
 #include <string>
 #include <vector>
@@ -12,6 +12,7 @@
 
 namespace rushtrestle::coordination {
 
+/// Owns the shard modules, passes events to them, and runs their periodic work.
 class ShardController {
  public:
   ShardController(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
@@ -24,18 +25,19 @@
   void on_machine_changed(const std::string& id);
   HeartbeatHandler& heartbeats() { return heartbeats_; }
   const HeartbeatHandler& heartbeats() const { return heartbeats_; }
+  /// Runs the periodic checks of machines and scans for requeues that are due.
   void tick();
-  /// When `tick` or `work` has something to do by the clock alone; a time that has passed: as soon
-  /// as can be.
+  /// Returns the steady time in seconds at which `tick` or `work` next has something to do, even if
+  /// no event arrives. A time in the past means at once.
   double next_due() const;
-  /// At the end of a batch: places what waits, commands whoever needs it.
+  /// Schedules pending jobs and sends due commands. Called at the end of each batch of events.
   void work();
-  /// For operators, a part of `/stats`.
+  /// Returns the shards' part of `/stats`.
   store::Json stats();
 
  private:
   void adopt_job(const std::string& id, const store::JobRecord& record);
-  void note_images(const store::JobRecord& record);
+  void record_image_uses(const store::JobRecord& record);
   void apply_cancellation(ShardJob& job, const store::JobRecord& durable);
   void on_machine_deleted(const std::string& id);
   void check_machines();
--- a/src/coordination/shard/shard_machine.h
+++ b/src/coordination/shard/shard_machine.h
@@ -1,5 +1,5 @@
-// A machine of a shard that this controller leads: what its worker told, what is placed on it and
-// how far it can be reached.
+// The in-memory state of a machine whose shard this controller leads: what its worker reported,
+// which tasks are placed on it, and whether commands reach it. Times are steady times in seconds.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,63 +14,68 @@
 
 namespace rushtrestle::coordination {
 
-/// Job and number of a task.
+/// Identifies a task by its job's id and its number in the job.
 using TaskKey = std::pair<std::string, uint32_t>;
-/// Attempt by task.
+/// The attempt number of each task on a machine.
 using TasksOnMachine = std::map<TaskKey, uint64_t>;
 
+/// What this controller knows of a machine, and its commands and writes for it.
 struct ShardMachine {
   std::string id;
   int shard = 0;
-  /// When this controller began to be responsible for it.
+  /// When this controller became responsible for the machine.
   double since = 0;
 
-  // What the worker told.
-  bool known = false;  // sent a heartbeat to this controller
+  // What the worker reported.
+  bool known = false;  // this controller has applied a heartbeat of the worker
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;
   uint64_t highest_token_seen = 0;
   std::vector<ReportedTask> reported;
+  /// Seconds until the cloud takes the machine back, as last reported; none: no notice.
   std::optional<double> notice_s;
-  /// Last newer heartbeat, however it came.
+  /// When the last newer heartbeat (by agent epoch and sequence number) arrived: sent directly,
+  /// forwarded by another controller, or as the answer to commands.
   double last_seen = 0;
-  /// Last one that the worker sent by itself: answers to commands renew no lease.
+  /// When the last heartbeat arrived that the worker sent of its own accord. Answers to commands
+  /// don't count, as they renew no lease.
   double last_heartbeat = 0;
-  /// When a silence last ended.
+  /// When the worker was last heard again after a silence.
   double heard_since = 0;
-  /// Last newer heartbeat that came through another controller.
+  /// When the last newer heartbeat arrived through another controller.
   double forwarded_at = kLongAgo;
 
-  /// As reported, or else by the record, which gets it when the budget allows. Who takes over the
-  /// shard before that learns it from the worker's next heartbeat.
+  /// The address that the worker reported, else the one in the record. A reported address is
+  /// written to the record when the write budget allows; a controller that takes over the shard
+  /// before that learns the address from the worker's next heartbeat.
   std::string address;
   bool address_queued = false;
 
-  // Commands that this controller sends by itself.
+  // Commands that this controller pushes, not those in its answers to heartbeats.
   bool command_in_flight = false;
   bool dispatch_wanted = false;
   double next_dispatch = 0;
-  /// 0: the last command was answered.
+  /// When commands began to fail; 0: the last command was answered.
   double commands_failing_since = 0;
-  /// Agent epoch when commands began to fail.
+  /// The worker's agent epoch when commands began to fail.
   uint64_t epoch_when_unreachable = 0;
-  /// Fencing token of a start that was not answered: it may be carried out minutes later, as long
-  /// as the worker has seen no token above this one. 0: none.
+  /// Fencing token of a start command that was not answered: the worker may carry it out minutes
+  /// later, as long as it has seen no token above this one. 0: none.
   uint64_t unacknowledged_start = 0;
 
-  // Its record.
+  // Writes of the machine's record.
   bool marking_for_deletion = false;
   bool record_write_queued = false;
 
-  // Failed tasks.
+  // Evidence of a fault: the jobs that failed here since a task last completed here.
   std::set<std::string> failed_jobs;
   MachineVerdict verdict = MachineVerdict::healthy;
   double suspect_since = 0;
   bool quarantined() const { return verdict != MachineVerdict::healthy; }
 
-  // What is placed on it; ShardState keeps these.
+  // The tasks placed on the machine and their sums; only ShardState changes these.
   TasksOnMachine placed;
-  int non_preemptible = 0;  // of `placed`
+  int non_preemptible = 0;  // number of tasks in `placed` that may not be preempted
   store::Resources used;
 };
 
--- a/src/coordination/shard/shard_state.cpp
+++ b/src/coordination/shard/shard_state.cpp
@@ -84,7 +84,7 @@
 }
 
 void ShardState::bind(ShardJob& job, uint32_t task, const std::string& machine) {
-  // The tasks of a gang start together, as one attempt.
+  // All tasks of a gang belong to one attempt, which begins with the first task placed.
   if (job.desired.spec.kind != JobKind::gang || job.desired.placed.empty()) ++job.desired.attempts;
   job.desired.placed.push_back(Placement{task, machine, job.desired.attempts, false, false});
   if (!images_.has(machine, job.desired.spec.image)) ++job.first_run.image_fetches;
@@ -99,14 +99,14 @@
                                [&](const Placement& placement) { return placement.task == task; });
   if (it == placed.end()) return;
   uncount_placement(job.desired, *it);
-  job.left_machines.insert(it->machine);
+  job.vacated_machines.insert(it->machine);
   placed.erase(it);
   update_pending(job);
   request_scheduling();
 }
 
-// A gang that runs can't go on without a member; one that still gathers takes a replacement.
-void ShardState::unbind_lost_member(ShardJob& job, uint32_t task) {
+// A gang that still gathers gets a replacement for the lost member.
+void ShardState::unbind_lost_task(ShardJob& job, uint32_t task) {
   const bool gathering = gang_phase(job.desired) == GangPhase::gathering;
   unbind(job, task);
   if (!gathering) end_attempt(job.desired);
@@ -122,15 +122,15 @@
   }
 }
 
-void ShardState::note_image(const JobRecord& record, const std::string& machine) {
+void ShardState::record_image_use(const JobRecord& record, const std::string& machine) {
   if (record.spec.image_gb < 0) return;
-  const auto* known = state_cache_.machine(machine);
-  const auto* type = known ? state_cache_.type(known->record.type) : nullptr;
+  const auto* durable = state_cache_.machine(machine);
+  const auto* type = durable ? state_cache_.type(durable->record.type) : nullptr;
   images_.used(machine, record.spec.image, record.spec.image_gb, type ? type->cache_gb : 0);
 }
 
 void ShardState::count_placement(const JobRecord& record, const Placement& placement) {
-  note_image(record, placement.machine);
+  record_image_use(record, placement.machine);
   team_usage_[record.spec.team].add(record.spec.per_task);
   const TaskKey task{record.spec.id, placement.task};
   tasks_by_machine_[placement.machine][task] = placement.attempt;
--- a/src/coordination/shard/shard_state.h
+++ b/src/coordination/shard/shard_state.h
@@ -1,8 +1,9 @@
 // The jobs and machines of the shards that this controller leads.
 //
-// Invariant: what a machine holds (`placed`, `used`, `non_preemptible`), what each team uses and
-// which tasks stand on which machine are the sums over the desired placements of all jobs. They
-// change together, in `bind`, `unbind`, `add_job`, `replace_desired` and `drop_job` alone.
+// Invariant: the tasks on each machine (`placed`, `used`, `non_preemptible`, `tasks_on`) and each
+// team's usage are sums over the desired placements of all jobs. A change of placements updates all
+// of them at once, and only `bind`, `unbind`, `add_job`, `replace_desired` and `drop_job` make such
+// changes.
 #pragma once
 #include <map>
 #include <set>
@@ -17,11 +18,13 @@
 
 namespace rushtrestle::coordination {
 
-/// This controller holds its lease and reaches the state store: decisions can become durable.
+/// Whether this controller holds its state store lease and reaches the store, so that its decisions
+/// can become durable.
 inline bool may_act(const StateStoreClient& state_store) {
   return state_store.lease_valid() && !state_store.disconnected();
 }
 
+/// Holds the jobs and machines, and keeps the sums over their placements consistent.
 class ShardState {
  public:
   ShardState(Context& context, store::StateCache& state_cache, const Membership& membership,
@@ -38,56 +41,58 @@
   const std::unordered_map<std::string, ShardJob>& jobs() const { return jobs_; }
   std::map<std::string, ShardMachine>& machines() { return machines_; }
   const std::map<std::string, ShardMachine>& machines() const { return machines_; }
-  /// Null: not of a shard that this controller leads.
+  /// Returns null for a job, or a machine, of a shard that this controller does not lead.
   ShardJob* find_job(const std::string& id);
   ShardMachine* find_machine(const std::string& id);
 
-  /// Jobs with tasks to be placed.
+  /// Open jobs with tasks that are neither placed nor done.
   const std::set<std::string>& pending_jobs() const { return pending_jobs_; }
-  /// Jobs that lost tasks with a machine, not written since.
+  /// Jobs that lost tasks to a deleted machine since the last scheduling pass; their writes are
+  /// queued after the next one.
   std::set<std::string>& jobs_that_lost_tasks() { return jobs_that_lost_tasks_; }
-  /// What the tasks of each team use.
+  /// Resources used by the placed tasks of each team.
   std::map<std::string, store::Resources>& team_usage() { return team_usage_; }
   const std::map<std::string, store::Resources>& team_usage() const { return team_usage_; }
-  /// Tasks that our jobs have on a machine, whosever it is.
+  /// Returns the tasks of the jobs held here on a machine, which may be of any shard.
   TasksOnMachine tasks_on(const std::string& machine) const;
 
-  /// The token under which commands to the machine are sent: the higher of its shard's and its
-  /// own record's mod revision.
+  /// Returns the fencing token for commands to the machine: the higher of the mod revisions of its
+  /// shard's key and of its own record.
   uint64_t fencing_token(const ShardMachine& machine) const;
-  /// The worker has sent a heartbeat by itself lately.
+  /// Whether the worker sent a heartbeat of its own accord within `probe_after_s`.
   bool sends_heartbeats(const ShardMachine& machine) const {
     return context_.now - machine.last_heartbeat <= context_.tunables.probe_after_s;
   }
-  /// May be stopped for other work, by the operators' settings.
+  /// Whether the operator settings let the job be stopped for other work.
   bool preemptible(const store::JobRecord& record) const;
 
-  /// Takes up a job with the record as desired; its placements count from now on.
+  /// Adds a job with the record as desired, and counts its placements.
   ShardJob& add_job(const std::string& id, const store::JobRecord& record);
   void drop_job(const std::string& id);
-  /// Replaces the desired record whole.
+  /// Replaces the whole desired record, which then counts as durable.
   void replace_desired(ShardJob& job, const store::JobRecord& record);
-  /// Takes up a machine, with what our jobs have on it.
+  /// Adds a machine, with the tasks that the jobs held here already have on it.
   ShardMachine& add_machine(const std::string& id, int shard);
 
-  /// Places a task; the tasks of a gang's attempt share one attempt number.
+  /// Places a task on a machine. The tasks of a gang's attempt share one attempt number.
   void bind(ShardJob& job, uint32_t task, const std::string& machine);
-  /// Takes a task off its machine; nothing if it is not placed.
+  /// Removes a task's placement. Does nothing if the task is not placed.
   void unbind(ShardJob& job, uint32_t task);
-  /// The task's machine is gone.
-  void unbind_lost_member(ShardJob& job, uint32_t task);
-  /// To be called after a change of what is placed or done.
+  /// Removes the placement of a task whose machine was deleted. A gang that no longer gathers ends
+  /// its attempt, as it can't go on without a member.
+  void unbind_lost_task(ShardJob& job, uint32_t task);
+  /// Updates `pending_jobs`; called after a change of the job's status, placed or done tasks.
   void update_pending(const ShardJob& job);
 
-  /// Something changed that may let waiting work be placed.
+  /// Requests a scheduling pass, after a change that may let waiting jobs be placed.
   void request_scheduling() { scheduling_requested_ = true; }
   bool scheduling_requested() const { return scheduling_requested_; }
-  void scheduling_began() { scheduling_requested_ = false; }
+  void clear_scheduling_request() { scheduling_requested_ = false; }
 
  private:
   void count_placement(const store::JobRecord& record, const store::Placement& placement);
   void uncount_placement(const store::JobRecord& record, const store::Placement& placement);
-  void note_image(const store::JobRecord& record, const std::string& machine);
+  void record_image_use(const store::JobRecord& record, const std::string& machine);
 
   Context& context_;
   store::StateCache& state_cache_;
@@ -97,8 +102,8 @@
   std::set<int> shards_;
   std::unordered_map<std::string, ShardJob> jobs_;
   std::map<std::string, ShardMachine> machines_;
-  // On machines of other shards and of nobody, too: looking through all jobs for each machine that
-  // came or went took seconds when dozens went at once.
+  // Tasks by machine, including machines of other shards and of none. A search through all jobs for
+  // each machine that was added or deleted took seconds when dozens were deleted at once.
   std::unordered_map<std::string, TasksOnMachine> tasks_by_machine_;
   std::map<std::string, store::Resources> team_usage_;
   std::set<std::string> pending_jobs_;
