--- a/src/coordination/state/lease_keeper.cpp
+++ b/src/coordination/state/lease_keeper.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-// Part of the lease that is relied on; the rest is for the drift between two machines' clocks.
-constexpr double kShareOfLeaseReliedOn = 0.998;
-// A request that failed is repeated about so often in the interval between renewals.
+// Share of the lease duration during which the lease counts as valid. The rest allows for drift
+// between the clocks of the two machines.
+constexpr double kUsableLeaseShare = 0.998;
+// Number of times that a failed request is repeated in one renewal interval, approximately.
 constexpr double kRetriesPerInterval = 3;
 
 }  // namespace
@@ -54,12 +55,12 @@
                 });
 }
 
-// The lease counts from the sending of the request, as the state store cannot have received it
-// earlier. The next renewal counts from there, too: a process short of processor time reads the
-// answer late, and a lease renewed one interval after that would already have expired.
+// The lease duration counts from the time the request was sent, as the state store cannot have
+// received the request earlier. The next renewal is scheduled from the same time: a process short
+// of CPU time reads the answer late, and a renewal one interval after that would come too late.
 void LeaseKeeper::on_granted_or_renewed(double sent_at) {
   connectivity_.on_success(sent_at);
-  valid_until_ = sent_at + context_.tunables.state_lease_s * kShareOfLeaseReliedOn;
+  valid_until_ = sent_at + context_.tunables.state_lease_s * kUsableLeaseShare;
   next_request_at_ = sent_at + context_.tunables.renew_every_s;
 }
 
--- a/src/coordination/state/lease_keeper.h
+++ b/src/coordination/state/lease_keeper.h
@@ -1,9 +1,10 @@
-// This controller's lease at the state store: granted, renewed, and granted anew once it is gone.
+// Keeps this controller's lease at the state store: acquires and renews it, and acquires a new one
+// after it is lost.
 //
-// Invariant: while `valid()` holds, the state store has not let the lease expire, whatever the
-// drift between the two machines' clocks. Keys written with the lease vanish with it.
-// StateStoreClient calls `tick`; the other modules ask whether the lease is valid before they act
-// on what it protects.
+// Invariant: while `valid()` returns true, the lease has not expired at the state store, despite
+// clock drift between the two machines. The state store deletes keys written with the lease when it
+// expires. StateStoreClient calls `tick`; other modules check `valid()` before they act on anything
+// that the lease protects.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,16 +19,16 @@
   LeaseKeeper(Context& context, StoreConnectivity& connectivity)
       : context_(context), connectivity_(connectivity) {}
 
-  /// Asks for a lease, or renews the one held, when that is due.
+  /// Requests a lease, or renews the current one, when that is due.
   void tick();
-  /// When `tick` has something to do, or the lease expires; steady seconds.
+  /// Returns the steady time in seconds at which `tick` next has work or the lease expires.
   double next_due() const;
 
   bool valid() const { return lease_ != 0 && context_.now < valid_until_; }
-  /// Id of the lease, valid or not; 0: none is held.
+  /// Returns the id of the lease, valid or not, or 0 if none is held.
   uint64_t lease() const { return lease_; }
 
-  /// The state store no longer knows the lease: the keys written with it are gone.
+  /// Called when the state store no longer knows the lease; the keys written with it are deleted.
   std::function<void()> on_lease_lost;
 
  private:
--- a/src/coordination/state/list_and_watch.cpp
+++ b/src/coordination/state/list_and_watch.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-// Changes that the state store keeps for watches, by its protocol.
-constexpr uint64_t kKeptChanges = 10000;
-// Requests that failed are repeated about so often in the interval between renewals of the lease.
+// Number of changes that the state store retains for watches, as specified by its protocol.
+constexpr uint64_t kRetainedChanges = 10000;
+// Number of times that a failed list or watch request is repeated in one lease renewal interval,
+// approximately.
 constexpr double kListRetriesPerInterval = 2;
 constexpr double kWatchRetriesPerInterval = 4;
 
@@ -50,9 +51,9 @@
   list_page();
 }
 
-// A list whose request failed resumes where it stopped. When it began anew each time, hundreds of
-// pages were never read to the end from a state store that leaves one request in a hundred
-// unanswered.
+// A list whose request failed resumes after the last page that was read. When it started over each
+// time, a list of hundreds of pages never completed on a state store that leaves one request in a
+// hundred unanswered.
 void ListAndWatch::pause_list(double sent_at, int status) {
   connectivity_.on_failure(sent_at, status);
   listing_ = false;
@@ -81,38 +82,38 @@
   apply(page.entries);
   if (!page.more || page.entries.empty()) return finish_list();
   list_->last_key = page.entries.back().key;
-  // Half of the changes that are kept, if each transaction holds as many of them as it may.
-  const uint64_t most_revisions_behind =
-      kKeptChanges / 2 / static_cast<uint64_t>(std::max(1, context_.settings.txn_ops));
-  page.revision > list_->watched_revision + most_revisions_behind ? watch_between_pages()
-                                                                  : list_page();
+  // Half of the retained changes, if every transaction contains the maximum number of changes.
+  const uint64_t max_revision_lag =
+      kRetainedChanges / 2 / static_cast<uint64_t>(std::max(1, context_.settings.txn_ops));
+  page.revision > list_->watched_revision + max_revision_lag ? watch_between_pages() : list_page();
 }
 
-// With more changes during a list than the state store keeps, the first watch after the list was
-// answered with 410, the keys were listed again, and so was the next watch: the controller never
-// had a state cache. So the changes are watched between pages, too.
+// Changes are also watched between pages. When more changes happened during a list than the state
+// store retains, the first watch after the list failed with 410 and the keys were listed again; as
+// this repeated on every list, the controller never had a state cache.
 void ListAndWatch::watch_between_pages() {
   const double sent_at = context_.now;
-  context_.call(Watch{list_->watched_revision, 0}, context_.settings.heartbeat_interval_s,
-                [this, sent_at](CallDone&& done) {
-                  const auto* reply = std::get_if<WatchReply>(&done.reply);
-                  if (done.status == response_status::kHistoryGone) {  // the pause was too long
-                    connectivity_.on_success(sent_at);
-                    list_.reset();
-                    listing_ = false;
-                    return;
-                  }
-                  if (done.status != response_status::kOk || !reply)
-                    return pause_list(sent_at, done.status);
-                  connectivity_.on_success(sent_at);
-                  apply(reply->events);
-                  list_->watched_revision = std::max(list_->watched_revision, reply->revision);
-                  list_page();
-                });
+  context_.call(
+      Watch{list_->watched_revision, 0}, context_.settings.heartbeat_interval_s,
+      [this, sent_at](CallDone&& done) {
+        const auto* reply = std::get_if<WatchReply>(&done.reply);
+        if (done.status == response_status::kHistoryGone) {  // the list was paused too long
+          connectivity_.on_success(sent_at);
+          list_.reset();
+          listing_ = false;
+          return;
+        }
+        if (done.status != response_status::kOk || !reply) return pause_list(sent_at, done.status);
+        connectivity_.on_success(sent_at);
+        apply(reply->events);
+        list_->watched_revision = std::max(list_->watched_revision, reply->revision);
+        list_page();
+      });
 }
 
-// Leased keys are the only ones that vanish, and a gap in the watched changes may have hidden that.
-// A key that was written after the list passed its place is newer than the first page, and stays.
+// Only leased keys are ever deleted, and a gap in the watched changes may have hidden a deletion. A
+// key that was written after the list passed its position is newer than the first page and stays in
+// the cache.
 void ListAndWatch::delete_unlisted_leased_keys() {
   std::vector<std::string> leased_keys{store::leader_key};
   for (int shard = 0; shard < context_.settings.nodes; ++shard)
--- a/src/coordination/state/list_and_watch.h
+++ b/src/coordination/state/list_and_watch.h
@@ -1,8 +1,8 @@
-// List-and-watch: keeps the StateCache at what the state store holds.
+// List-and-watch: keeps the StateCache in sync with the state store.
 //
-// All keys are listed page by page, then changes are watched from the listed revision on; when the
-// state store no longer keeps the changes that are needed, everything is listed again. Invariant:
-// once `synced()`, the cache holds all changes up to its revision. StateStoreClient calls `tick`.
+// Lists all keys page by page, then watches changes from the listed revision on. If the state store
+// no longer retains the needed changes, all keys are listed again. Invariant: once `synced()`
+// returns true, the cache holds all changes up to its revision. StateStoreClient calls `tick`.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -27,32 +27,33 @@
         connectivity_(connectivity),
         budgets_(budgets) {}
 
-  /// Begins or resumes a list, or a watch, when one is due.
+  /// Starts or resumes a list, or starts a watch, when one is due.
   void tick();
-  /// When `tick` has something to do; steady seconds.
+  /// Returns the steady time in seconds at which `tick` next has work.
   double next_due();
 
-  /// All keys were listed, and every change since then is or can still be watched.
+  /// Returns true if all keys were listed and every change since then can still be watched.
   bool synced() const { return synced_; }
-  /// The state cache holds all that was written before this time, in steady seconds; kLongAgo:
-  /// unknown. Other requests may succeed while the changes do not come, so this says more than the
-  /// last contact.
+  /// Returns a steady time in seconds, or kLongAgo if unknown; the state cache holds every write
+  /// made before that time. This is stricter than the time of the last contact, as other requests
+  /// may succeed while watches do not return.
   double current_at() const { return current_at_; }
-  /// A linearizable read sent at `sent_at` has shown the cache to be at least as new as that.
+  /// Records that, by a linearizable read, the cache holds every write made before the steady time
+  /// `sent_at`, at which the read was sent.
   void confirm_current_at(double sent_at);
 
-  /// The cache has reached a newer revision, by a list or by a watch.
+  /// Called when a list or a watch has brought the cache to a newer revision.
   std::function<void()> on_cache_advanced;
 
  private:
-  /// A list of all keys, page by page, while they change.
+  /// The progress of a list of all keys, which is read page by page while keys change.
   struct ListProgress {
     explicit ListProgress(double now) : began_at(now) {}
 
     double began_at = 0;
-    std::string last_key;                    // that was listed; empty: none yet
-    std::optional<uint64_t> first_revision;  // of the first page; none: no page was read yet
-    uint64_t watched_revision = 0;           // all changes up to it are in the state cache
+    std::string last_key;                    // last listed key; empty: none yet
+    std::optional<uint64_t> first_revision;  // revision of the first page, if one was read
+    uint64_t watched_revision = 0;           // the cache holds all changes up to this one
     std::set<std::string> listed_keys;
   };
 
@@ -71,8 +72,8 @@
   store::StateCache& state_cache_;
   StoreConnectivity& connectivity_;
   RequestBudgets& budgets_;
-  std::optional<ListProgress> list_;  // none: no list was begun, or the last one is complete
-  bool listing_ = false;              // requests of the list are under way
+  std::optional<ListProgress> list_;  // the list in progress, if any
+  bool listing_ = false;              // a request of the list is in flight
   double next_list_attempt_ = 0;
   bool synced_ = false;
   bool watching_ = false;
--- a/src/coordination/state/read_barrier.cpp
+++ b/src/coordination/state/read_barrier.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-// Nobody writes this key: the 404 for it carries the state store's revision, and nothing else.
+// This key is never written, so a read of it returns a 404 with only the state store's revision.
 constexpr const char* kAbsentKey = "none";
-// Part of the time that a request may wait for its answer.
-constexpr double kStepShareOfWait = 0.6;
+// Timeout of each of the two steps, as a share of the time that a request may wait for its answer.
+constexpr double kStepTimeoutShare = 0.6;
 
 }  // namespace
 
-double ReadBarriers::step_limit_s() const {
-  return context_.tunables.poll_wait_s * kStepShareOfWait;
+double ReadBarriers::step_timeout_s() const {
+  return context_.tunables.poll_wait_s * kStepTimeoutShare;
 }
 
 void ReadBarriers::tick() {
   send_read();
-  settle();
+  resolve();
 }
 
 double ReadBarriers::next_due() {
@@ -41,7 +41,7 @@
   read_in_flight_ = true;
   const double sent_at = context_.now;
   auto waiting = std::make_shared<std::vector<Continuation>>(std::exchange(not_sent_, {}));
-  context_.call(ReadKey{kAbsentKey}, step_limit_s(),
+  context_.call(ReadKey{kAbsentKey}, step_timeout_s(),
                 [this, sent_at, waiting](CallDone&& done) { on_read(sent_at, done, *waiting); });
 }
 
@@ -56,11 +56,11 @@
   }
   connectivity_.on_success(sent_at);
   barriers_.push_back(
-      {reply->revision, sent_at, context_.now + step_limit_s(), std::move(waiting)});
-  settle();
+      {reply->revision, sent_at, context_.now + step_timeout_s(), std::move(waiting)});
+  resolve();
 }
 
-void ReadBarriers::settle() {
+void ReadBarriers::resolve() {
   for (size_t i = 0; i < barriers_.size();) {
     const bool passed =
         list_and_watch_.synced() && state_cache_.revision() >= barriers_[i].revision;
@@ -68,9 +68,9 @@
       ++i;
       continue;
     }
-    // All that was durable when the read was sent is in the cache. An open watch tells that only
-    // once it is answered, which in an outage it is not: without this, workers were answered for
-    // some seconds less than they might have been.
+    // The cache now holds everything that was durable when the read was sent. An open watch only
+    // shows this once it returns, which it does not during an outage. Without this confirmation,
+    // the controller stopped answering workers some seconds earlier than necessary.
     if (passed) list_and_watch_.confirm_current_at(barriers_[i].sent_at);
     auto waiting = std::move(barriers_[i].waiting);
     barriers_.erase(barriers_.begin() + static_cast<long>(i));
--- a/src/coordination/state/read_barrier.h
+++ b/src/coordination/state/read_barrier.h
@@ -1,10 +1,10 @@
-// Linearizable reads from the state cache: read barriers.
+// Read barriers: linearizable reads from the state cache.
 //
-// A caller waits until the state cache is known to hold everything that was durable when it asked.
-// One read of the state store tells the revision that the cache has to reach, and serves all who
-// asked before it was sent. Invariant: each continuation runs exactly once. StateStoreClient calls
-// `tick`, `settle` whenever the cache advances, and `fail_waiting` when the state store becomes
-// unavailable.
+// A caller waits until the state cache is known to hold everything that was durable at the time of
+// the call. One read of the state store returns the revision that the cache has to reach, and
+// serves all callers that were waiting when the read was sent. Invariant: each continuation runs
+// exactly once. StateStoreClient calls `tick`, `resolve` whenever the cache advances, and
+// `fail_waiting` when the state store becomes unavailable.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -20,7 +20,7 @@
 
 class ReadBarriers {
  public:
-  /// Told whether the state cache is at least as new as the question.
+  /// Receives whether the state cache is at least as new as the call to `add`.
   using Continuation = std::function<void(bool passed)>;
 
   ReadBarriers(Context& context, const store::StateCache& state_cache,
@@ -32,19 +32,21 @@
         list_and_watch_(list_and_watch),
         budgets_(budgets) {}
 
-  /// Runs `continuation` once a read that is sent after this call has passed, or has failed.
+  /// Runs `continuation` once a read that is sent after this call has succeeded and the cache has
+  /// reached its revision, or once that has failed.
   void add(Continuation continuation) { not_sent_.push_back(std::move(continuation)); }
-  /// Sends one read for all who wait, if none is under way, and settles the barriers.
+  /// Sends one read for all waiting callers if none is in flight, and resolves the barriers.
   void tick();
-  /// Runs the continuations of the barriers that are reached, or past their deadline.
-  void settle();
-  /// Fails all for whom no read was sent yet.
+  /// Runs the continuations of the barriers that the cache has reached or whose deadline has
+  /// passed.
+  void resolve();
+  /// Fails all callers for which no read has been sent yet.
   void fail_waiting();
-  /// When `tick` has something to do; steady seconds.
+  /// Returns the steady time in seconds at which `tick` next has work.
   double next_due();
 
  private:
-  /// The revision that a read has shown, which the state cache has to reach.
+  /// A revision returned by a read, which the state cache has to reach; times in steady seconds.
   struct Barrier {
     uint64_t revision = 0;
     double sent_at = 0;
@@ -54,8 +56,8 @@
 
   void send_read();
   void on_read(double sent_at, const CallDone& done, std::vector<Continuation>& waiting);
-  /// For the answer to the read, and again for the cache to reach its revision.
-  double step_limit_s() const;
+  /// Returns the timeout in seconds for the read, and again for the cache to reach its revision.
+  double step_timeout_s() const;
 
   Context& context_;
   const store::StateCache& state_cache_;
--- a/src/coordination/state/request_budgets.cpp
+++ b/src/coordination/state/request_budgets.cpp
@@ -10,22 +10,22 @@
   watches_.set_rate(requests_per_second * Tunables::kWatchShare);
   barrier_reads_.set_rate(requests_per_second * Tunables::kBarrierShare);
   transactions_.set_rate(requests_per_second * Tunables::kTxnShare);
-  const double rate_in_force = write_rate_refused_
+  const double rate_in_force = write_rate_limited_
                                    ? std::min(settings_.next_write_rps, settings_.state_write_rps)
                                    : settings_.state_write_rps;
   writes_per_second_ = rate_in_force * Tunables::kBudget * share;
   writes_.set_rate(writes_per_second_);
 }
 
-void RequestBudgets::on_write_rate_refused() {
-  if (settings_.next_write_rps > 0) write_rate_refused_ = true;
+void RequestBudgets::on_write_rate_limited() {
+  if (settings_.next_write_rps > 0) write_rate_limited_ = true;
 }
 
 WriteBudgetLevels RequestBudgets::write_levels(double now) {
   return {writes_.level(now), transactions_.level(now)};
 }
 
-double RequestBudgets::writes_above_at(double floor, double now) {
+double RequestBudgets::time_writes_above(double floor, double now) {
   return std::max(transactions_.above_at(floor, now), writes_.above_at(floor, now));
 }
 
--- a/src/coordination/state/request_budgets.h
+++ b/src/coordination/state/request_budgets.h
@@ -1,8 +1,8 @@
-// This controller's share of the request rates that the state store grants to all controllers.
+// This controller's share of the request rates that the state store allows for all controllers.
 //
-// Owns one token bucket each for watches, barrier reads, transactions and writes. Invariant: their
-// rates add up to no more than this controller's share of the settings' rates. Membership sets the
-// share through StateStoreClient; the modules that send requests take from the buckets.
+// Owns one token bucket each for watches, barrier reads, transactions and writes. Invariant: the
+// sum of their rates does not exceed this controller's share of the rates in the settings.
+// Membership sets the share through StateStoreClient; the modules that send requests take tokens.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 namespace rushtrestle::coordination {
 
-/// What is left of the two budgets that a transaction takes from, in seconds' worth; below 0:
-/// overdrawn.
+/// What is left of the two budgets that a transaction takes from, in seconds of their rate; a
+/// negative level means overdrawn.
 struct WriteBudgetLevels {
   double writes = 0;
   double transactions = 0;
@@ -24,21 +24,22 @@
  public:
   explicit RequestBudgets(const store::Settings& settings) : settings_(settings) {}
 
-  /// `share` of the whole budget, between 0 and 1, is ours from now on.
+  /// Sets this controller's share of the whole budget, between 0 and 1.
   void set_share(double share);
   double share() const { return share_; }
-  /// Writes a second that our share allows.
+  /// Returns the writes per second that this controller's share allows.
   double writes_per_second() const { return writes_per_second_; }
-  /// A transaction was refused for the rate of writes. If the settings announce a lower rate, that
-  /// may be in force already: it counts from the next `set_share` on.
-  void on_write_rate_refused();
+  /// Records that a transaction was refused because of the write rate. If the settings announce a
+  /// lower rate, that rate may already be in force and applies from the next `set_share` on.
+  void on_write_rate_limited();
 
   TokenBucket& watches() { return watches_; }
   TokenBucket& barrier_reads() { return barrier_reads_; }
 
   WriteBudgetLevels write_levels(double now);
-  /// When both budgets of writes will stand above `floor`, if nothing is taken until then.
-  double writes_above_at(double floor, double now);
+  /// Returns the time at which the levels of writes and transactions will both be above `floor` if
+  /// nothing is taken until then. Times are in steady seconds.
+  double time_writes_above(double floor, double now);
   void take_transaction(size_t writes);
 
  private:
@@ -49,7 +50,7 @@
   TokenBucket writes_;
   double share_ = 1;
   double writes_per_second_ = 1;
-  bool write_rate_refused_ = false;
+  bool write_rate_limited_ = false;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/state_store_client.cpp
+++ b/src/coordination/state/state_store_client.cpp
@@ -16,11 +16,11 @@
   lease_keeper_.on_lease_lost = [this] {
     if (on_lease_lost) on_lease_lost();
   };
-  list_and_watch_.on_cache_advanced = [this] { read_barriers_.settle(); };
+  list_and_watch_.on_cache_advanced = [this] { read_barriers_.resolve(); };
 }
 
-// The writes come last: what the continuations of read barriers want to write leaves in the same
-// tick.
+// Writes are flushed last, so that writes enqueued by read barrier continuations are sent in the
+// same tick.
 void StateStoreClient::tick() {
   lease_keeper_.tick();
   list_and_watch_.tick();
--- a/src/coordination/state/state_store_client.h
+++ b/src/coordination/state/state_store_client.h
@@ -1,9 +1,9 @@
-// This controller's client of the state store, as the other packages see it.
+// The state store client: the interface of this package to the rest of the controller.
 //
-// Ties the parts of the package and forwards to them: connectivity, the budgets of requests, the
-// lease, list-and-watch, the read barriers and the write pipeline. It owns no state beside them.
-// Core calls `tick` at the end of each batch, after all others, so that what they want to write
-// leaves in the same batch.
+// Connects the modules of the package and forwards calls to them: connectivity, request budgets,
+// lease, list-and-watch, read barriers and write pipeline. The client has no other state. Core
+// calls `tick` at the end of each batch, after all other modules, so that their writes are sent in
+// the same batch.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -26,51 +26,53 @@
   StateStoreClient(const StateStoreClient&) = delete;
   StateStoreClient& operator=(const StateStoreClient&) = delete;
 
-  /// Does what is due, in this order: the lease, the list or the watch, reads for writes of unknown
-  /// outcome, the read barriers, the writes.
+  /// Runs the work that is due, in this order: lease, list or watch, reads for writes of unknown
+  /// outcome, read barriers, writes.
   void tick();
-  /// When `tick` has something to do by the clock alone, in steady seconds; a time that has passed:
-  /// as soon as the budget allows.
+  /// Returns the steady time in seconds at which `tick` next has work without any new event. A time
+  /// in the past means as soon as the budget allows.
   double next_due();
 
-  /// Enqueues a write; it leaves in a later `tick`, and `done` of the request tells its outcome.
+  /// Enqueues a write. A later `tick` sends it, and the request's `done` receives the outcome.
   void write(WriteRequest request) { write_pipeline_.enqueue(std::move(request)); }
-  /// Runs `then(true)` once the state cache is known to be at least as new as this call, and
-  /// `then(false)` when that can't be known in time; at once while disconnected.
+  /// Runs `then(true)` once the state cache is known to be at least as new as this call, or
+  /// `then(false)` if that is not known before a timeout. Runs `then(false)` immediately while
+  /// disconnected.
   void wait_for_read_barrier(std::function<void(bool)> then);
 
-  /// All keys were listed, and changes are watched since.
+  /// Returns true once all keys were listed and the changes since then are being watched.
   bool synced() const { return list_and_watch_.synced(); }
   bool lease_valid() const { return lease_keeper_.valid(); }
-  /// The last request failed and none has succeeded since, or there is no lease or no cache:
-  /// whoever asks is told at once.
+  /// Returns true if the last request failed and none has succeeded since, or if there is no valid
+  /// lease or no synced cache. Callers then get a negative answer immediately.
   bool disconnected() const { return !synced() || connectivity_.unavailable() || !lease_valid(); }
-  /// Id of the lease at the state store; 0: none.
+  /// Returns the id of the lease at the state store, or 0 if none is held.
   uint64_t lease() const { return lease_keeper_.lease(); }
-  /// When the latest request that succeeded was sent, in steady seconds.
+  /// Returns the steady time in seconds at which the latest successful request was sent.
   double last_contact() const { return connectivity_.last_contact(); }
-  /// The state cache holds all that was written before this time, in steady seconds.
+  /// Returns a steady time in seconds; the state cache holds every write made before that time.
   double current_at() const { return list_and_watch_.current_at(); }
   bool ever_synced() const { return current_at() > kLongAgo; }
 
-  /// Writes that wait for nothing but the budget.
+  /// Returns the number of writes that only wait for budget.
   double backlog() const { return write_pipeline_.backlog(); }
-  /// What we need of the whole budget of writes, as a part of it.
-  double need() { return write_pipeline_.need(); }
-  /// Our share of the whole budget of requests, between 0 and 1.
+  /// Returns the fraction of all controllers' write budget that this controller needs.
+  double need() { return write_pipeline_.needed_budget_share(); }
+  /// Sets this controller's share of the whole request budget, between 0 and 1.
   void set_weight(double share_of_budget) { budgets_.set_share(share_of_budget); }
-  /// Seconds that the acceptance of a job of this rank would wait now.
+  /// Returns the seconds that the acceptance of a job of this rank would wait in the queue now.
   double accept_delay(store::Rank rank) const { return write_pipeline_.accept_delay(rank); }
-  /// Larger than the lower of the present and the announced limit of a value's size.
+  /// Returns true if the value exceeds the lower of the current and the announced value size limit.
   bool oversized(const store::Json& value) const { return write_pipeline_.oversized(value); }
-  /// Oversized, and such a value was refused: the announced limit is in force.
+  /// Returns true if the value is oversized and the state store has refused an oversized value
+  /// before, which shows that the announced limit is in force.
   bool refuses(const store::Json& value) const { return write_pipeline_.refuses(value); }
 
   WriteMetrics& write_metrics() { return write_pipeline_.metrics(); }
-  /// The body of `/stats` on writes.
+  /// Returns the section of `/stats` about writes.
   store::Json stats() { return write_pipeline_.stats(); }
 
-  /// The state store no longer knows our lease: the keys written with it are gone.
+  /// Called when the state store no longer knows the lease; the keys written with it are deleted.
   std::function<void()> on_lease_lost;
 
  private:
--- a/src/coordination/state/store_connectivity.cpp
+++ b/src/coordination/state/store_connectivity.cpp
@@ -12,9 +12,9 @@
   unavailable_ = false;
 }
 
-// While the state store is slow, single requests go unanswered among others that succeed. When each
-// of them counted, the controller was disconnected again and again and refused everything that
-// waited. Only a request that was sent after the last success says anything.
+// Only the failure of a request that was sent after the latest successful one counts. While the
+// state store is slow, single requests fail among others that succeed; when each of them counted,
+// the controller disconnected repeatedly and refused all waiting requests.
 void StoreConnectivity::on_failure(double sent_at, int status) {
   if (sent_at <= last_contact_ || status == response_status::kTooManyRequests) return;
   if (!unavailable_) context_.info("state_store_unavailable status=" + std::to_string(status));
--- a/src/coordination/state/store_connectivity.h
+++ b/src/coordination/state/store_connectivity.h
@@ -1,9 +1,8 @@
-// Whether the state store answers this controller.
+// Tracks whether the state store answers this controller.
 //
 // Owns the time of the last contact and the flag "unavailable". Invariant: the state store counts
-// as unavailable when a request failed that was sent after the last request known to have
-// succeeded, and until one succeeds. Every module that calls the state store reports the result of
-// each call here.
+// as unavailable from the failure of a request that was sent after the latest successful one, until
+// a request succeeds. Every module that calls the state store reports the result of each call here.
 #pragma once
 #include <functional>
 
@@ -15,16 +14,16 @@
  public:
   explicit StoreConnectivity(Context& context) : context_(context) {}
 
-  /// A request sent at `sent_at` (steady seconds) was answered, whatever the answer said.
+  /// Records that a request sent at `sent_at` (steady seconds) was answered, with whatever status.
   void on_success(double sent_at);
-  /// A request sent at `sent_at` got no usable answer.
+  /// Records that a request sent at `sent_at` (steady seconds) got no usable answer.
   void on_failure(double sent_at, int status);
 
   bool unavailable() const { return unavailable_; }
-  /// When the latest request that succeeded was sent, in steady seconds; 0: none yet.
+  /// Returns the steady time in seconds at which the latest successful request was sent; 0 if none.
   double last_contact() const { return last_contact_; }
 
-  /// Called for each failure that makes or keeps the state store unavailable.
+  /// Called on each failure that makes or keeps the state store unavailable.
   std::function<void()> on_unavailable;
 
  private:
--- a/src/coordination/state/write_pipeline.cpp
+++ b/src/coordination/state/write_pipeline.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Pauses after a refusal, as parts of the interval between heartbeats.
-constexpr double kRatePausesPerHeartbeat = 20;
+// The heartbeat interval divided by these numbers is the pause after a rate limit refusal (429) and
+// after an unavailable answer (503).
+constexpr double kRateLimitPausesPerHeartbeat = 20;
 constexpr double kOutagePausesPerHeartbeat = 5;
 
 }  // namespace
@@ -28,7 +29,7 @@
       queue_(context.tunables, context.operators),
       demand_(context.tunables.demand_memory_s),
       outcome_lookup_(context, state_cache, connectivity) {
-  outcome_lookup_.on_key_known = [this](const std::string& key) { keys_in_flight_.erase(key); };
+  outcome_lookup_.on_key_read = [this](const std::string& key) { keys_in_flight_.erase(key); };
 }
 
 void WritePipeline::enqueue(WriteRequest request) {
@@ -39,23 +40,25 @@
 
 // ---- load and statistics ----
 
-double WritePipeline::backlog() const { return static_cast<double>(queue_.pressing(context_.now)); }
+double WritePipeline::backlog() const {
+  return static_cast<double>(queue_.waiting_for_budget(context_.now));
+}
 
-double WritePipeline::need() {
-  constexpr double kMargin = 1.25;  // for what comes unevenly
+double WritePipeline::needed_budget_share() {
+  constexpr double kBurstMargin = 1.25;  // allows for uneven arrival of writes
   const double whole_budget = context_.settings.state_write_rps * Tunables::kBudget;
-  return (demand_.writes_per_second(context_.now) * kMargin +
+  return (demand_.writes_per_second(context_.now) * kBurstMargin +
           backlog() / context_.tunables.drain_s) /
          whole_budget;
 }
 
-// While other writes have waited too long, acceptances have their part of the writes only.
+// While writes of lower priorities are overdue, acceptances only get their share of the write rate.
 double WritePipeline::accept_delay(store::Rank rank) const {
-  constexpr double kSlowestRate = 0.1;  // a rate of nothing gives a long time, not an infinite one
+  constexpr double kMinRate = 0.1;  // writes per second; keeps the delay finite at a rate of 0
   const size_t requests_before = queue_.waiting_before(WritePriority::request, rank);
   const double rate = budgets_.writes_per_second() *
                       (queue_.contended(context_.now) ? Tunables::kContendedShare[0] : 1);
-  return static_cast<double>(requests_before) / std::max(kSlowestRate, rate);
+  return static_cast<double>(requests_before) / std::max(kMinRate, rate);
 }
 
 bool WritePipeline::oversized(const store::Json& value) const {
@@ -64,46 +67,46 @@
 }
 
 bool WritePipeline::refuses(const store::Json& value) const {
-  return value_limit_lowered_ && oversized(value);
+  return oversized_value_refused_ && oversized(value);
 }
 
 store::Json WritePipeline::stats() {
   store::Json body = metrics_.to_json();
   body["waiting"] = {{"request", queue_.waiting(WritePriority::request)},
                      {"placement", queue_.waiting(WritePriority::placement)},
-                     {"end", queue_.waiting(WritePriority::end)},
+                     {"end", queue_.waiting(WritePriority::completion)},
                      {"gathered", queue_.waiting(WritePriority::coalesced)},
                      {"display", queue_.waiting(WritePriority::background)}};
   body["share_of_budget"] = budgets_.share();
-  body["need_of_budget"] = need();
+  body["need_of_budget"] = needed_budget_share();
   return body;
 }
 
 // ---- sending ----
 
-bool WritePipeline::may_send() const {
+bool WritePipeline::can_send() const {
   return transactions_in_flight_ < Tunables::kTxnsInFlight && context_.now >= paused_until_ &&
          lease_keeper_.valid();
 }
 
-double WritePipeline::next_due() { return std::min(outcome_lookup_.next_due(), writes_due()); }
+double WritePipeline::next_due() { return std::min(outcome_lookup_.next_due(), next_write_due()); }
 
-// When the first write that waits may leave by the budgets.
-double WritePipeline::writes_due() {
+// Returns the steady time in seconds at which the budgets allow the first waiting write.
+double WritePipeline::next_write_due() {
   if (!lease_keeper_.valid() || transactions_in_flight_ >= Tunables::kTxnsInFlight)
     return kNoDueTime;
   return queue_.next_due(context_.now, [this](double floor) {
-    return std::max(paused_until_, budgets_.writes_above_at(floor, context_.now));
+    return std::max(paused_until_, budgets_.time_writes_above(floor, context_.now));
   });
 }
 
 void WritePipeline::flush() {
-  while (may_send()) {
+  while (can_send()) {
     const TransactionBatch batch = next_batch();
     if (batch.empty()) break;
     send(batch);
   }
-  metrics_.stalled(stall_reason(), context_.now, budgets_.writes_per_second());
+  metrics_.record_stall(stall_reason(), context_.now, budgets_.writes_per_second());
 }
 
 TransactionBatch WritePipeline::next_batch() {
@@ -114,8 +117,8 @@
   return batch;
 }
 
-// A write that has nothing to write any more leaves its slot to another, and its callback may have
-// queued more: then the queue is asked for candidates again.
+// A write whose `prepare` finds nothing to write frees its slot for another write, and its `done`
+// may have enqueued more writes. In this case the queue is asked for candidates again.
 WritePipeline::BatchStep WritePipeline::add_candidates(TransactionBatch& batch) {
   const auto is_busy = [&](const std::string& key) {
     return keys_in_flight_.count(key) != 0 || batch.contains(key);
@@ -123,16 +126,16 @@
   BatchStep next = BatchStep::done;
   const double level = budgets_.write_levels(context_.now).lower();
   for (const auto& write : queue_.candidates(context_.now, level, batch.slots_left(), is_busy)) {
-    if (batch.contains(write->request.key) || (write->alone && !batch.empty())) continue;
-    queue_.take(write);
+    if (batch.contains(write->request.key) || (write->send_alone && !batch.empty())) continue;
+    queue_.remove(write);
     if (!prepare(*write)) {
       write->request.done(WriteOutcome::skipped, 0);
       next = BatchStep::more;
       continue;
     }
     if (!batch.try_add(write)) {
-      metrics_.cut_short();
-      queue_.put_first(write);
+      metrics_.record_transaction_cut_short();
+      queue_.put_back_first(write);
       batch.close();
     }
     if (batch.full()) return BatchStep::done;
@@ -140,7 +143,7 @@
   return next;
 }
 
-// Each value carries the name of its write, by which the outcome of an unanswered one is known.
+// Each value carries the id of its write, which shows whether an unanswered write was applied.
 bool WritePipeline::prepare(QueuedWrite& write) {
   write.prepared = {};
   if (!write.request.prepare(write.prepared)) return false;
@@ -162,7 +165,7 @@
 }
 
 StallReason WritePipeline::stall_reason() {
-  if (!queue_.anything_pressing(context_.now)) return StallReason::none;
+  if (!queue_.any_waiting_for_budget(context_.now)) return StallReason::none;
   if (!lease_keeper_.valid()) return StallReason::no_lease;
   if (context_.now < paused_until_) return StallReason::pause;
   if (transactions_in_flight_ >= Tunables::kTxnsInFlight) return StallReason::in_flight;
@@ -183,11 +186,11 @@
     connectivity_.on_success(sent_at);
     on_precondition_failed(writes, reply->failed);
   } else if (done.status == response_status::kNoAnswer) {
-    // It may have been carried out, or may yet be: the keys are read before anything is decided.
+    // The transaction may have been applied, or may still be: the keys are read to learn which.
     connectivity_.on_failure(sent_at, done.status);
-    for (const auto& write : writes) outcome_lookup_.read(write);
+    for (const auto& write : writes) outcome_lookup_.look_up(write);
   } else if (done.status == response_status::kTooManyRequests) {
-    on_rate_refused(writes);
+    on_rate_limited(writes);
   } else if (done.status == response_status::kUnavailable) {
     on_unavailable(writes, sent_at);
   } else {
@@ -195,40 +198,41 @@
   }
 }
 
-// The cache holds all of the transaction before the first callback looks at it.
+// The whole transaction is applied to the cache before the first callback runs.
 void WritePipeline::on_committed(const Writes& writes, double sent_at, uint64_t revision) {
   connectivity_.on_success(sent_at);
   for (const auto& write : writes) {
     keys_in_flight_.erase(write->request.key);
-    metrics_.put(write->request.cause, sent_at - write->queued_at);
+    metrics_.record_write(write->request.cause, sent_at - write->queued_at);
     state_cache_.apply(store::Change{write->request.key, write->prepared.value, revision});
   }
   for (const auto& write : writes) write->request.done(WriteOutcome::applied, revision);
 }
 
-// Writes whose preconditions held go again; of the others, what is there now has to be known.
+// Writes whose preconditions held are queued again; for the others, the current value of the key is
+// read.
 void WritePipeline::on_precondition_failed(const Writes& writes,
                                            const std::vector<std::string>& failed_keys) {
   const std::set<std::string> failed(failed_keys.begin(), failed_keys.end());
   for (auto it = writes.rbegin(); it != writes.rend(); ++it) {
     const QueuedWritePtr& write = *it;
     const auto& preconditions = write->prepared.preconditions;
-    const bool at_fault = failed.count(write->request.key) != 0 ||
-                          std::any_of(preconditions.begin(), preconditions.end(),
-                                      [&](const Precondition& precondition) {
-                                        return failed.count(precondition.key) != 0;
-                                      });
-    if (at_fault)
-      outcome_lookup_.read(write);
+    const bool precondition_failed = failed.count(write->request.key) != 0 ||
+                                     std::any_of(preconditions.begin(), preconditions.end(),
+                                                 [&](const Precondition& precondition) {
+                                                   return failed.count(precondition.key) != 0;
+                                                 });
+    if (precondition_failed)
+      outcome_lookup_.look_up(write);
     else
       put_back(write);
   }
 }
 
-void WritePipeline::on_rate_refused(const Writes& writes) {
+void WritePipeline::on_rate_limited(const Writes& writes) {
   context_.counters["state_429"]++;
-  budgets_.on_write_rate_refused();
-  pause_and_put_back(writes, context_.settings.heartbeat_interval_s / kRatePausesPerHeartbeat);
+  budgets_.on_write_rate_limited();
+  pause_and_put_back(writes, context_.settings.heartbeat_interval_s / kRateLimitPausesPerHeartbeat);
 }
 
 void WritePipeline::on_unavailable(const Writes& writes, double sent_at) {
@@ -247,9 +251,9 @@
   queue_.put_back(write);
 }
 
-// One bad write must not take the others of its transaction with it: each goes again, alone, so
-// that only the one at fault is given up. Not so keys with a lease, which are asked for anew by
-// whoever wants them.
+// One invalid write must not fail the other writes of its transaction. Each write is sent again in
+// its own transaction, so that only the invalid one is given up. Writes with a lease are not sent
+// again, as their callers request them anew.
 void WritePipeline::on_refused(const Writes& writes, int status) {
   const QueuedWrite& first = *writes.front();
   context_.log_rate_limited("txn", "transaction_refused status=" + std::to_string(status) +
@@ -257,10 +261,10 @@
                                        " first_key=" + first.request.key);
   const bool single = writes.size() == 1;
   if (single && first.prepared.value && oversized(*first.prepared.value))
-    value_limit_lowered_ = true;
+    oversized_value_refused_ = true;
   for (const auto& write : writes) {
     if (!single && write->prepared.lease == 0) {
-      write->alone = true;
+      write->send_alone = true;
       put_back(write);
     } else {
       keys_in_flight_.erase(write->request.key);
--- a/src/coordination/state/write_pipeline.h
+++ b/src/coordination/state/write_pipeline.h
@@ -1,9 +1,10 @@
-// Writes to the state store: queued, batched into transactions within the budget, and followed
-// until their outcome is known.
+// The write pipeline: queues writes to the state store, batches them into transactions within the
+// budget, and tracks them until their outcome is known.
 //
-// Invariant: at most one write of a key is under way, and each write's `done` runs once. Writes
-// leave only while our lease is valid: without it, another controller may lead what they are about.
-// StateStoreClient enqueues the writes and calls `repeat_due_lookups` and `flush` each tick.
+// Invariant: at most one write per key is in flight, and each write's `done` runs exactly once.
+// Writes are sent only while this controller's lease is valid; without it, another controller may
+// own the records that they change. StateStoreClient enqueues the writes and calls
+// `repeat_due_lookups` and `flush` on each tick.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -31,34 +32,37 @@
   WritePipeline& operator=(const WritePipeline&) = delete;
 
   void enqueue(WriteRequest request);
-  /// Reads again, for writes of unknown outcome, what could not be read so far.
+  /// Repeats the failed reads of keys whose last write has an unknown outcome.
   void repeat_due_lookups() { outcome_lookup_.repeat_due_reads(); }
-  /// Sends as many transactions as the budgets allow.
+  /// Sends as many transactions as the budgets allow, up to the limit of transactions in flight.
   void flush();
-  /// When `repeat_due_lookups` or `flush` has something to do; steady seconds, may have passed.
+  /// Returns the steady time in seconds, possibly past, at which `repeat_due_lookups` or `flush`
+  /// next has work.
   double next_due();
 
-  /// Writes that wait for nothing but the budget.
+  /// Returns the number of writes that only wait for budget.
   double backlog() const;
-  /// The part of the whole budget of writes that we need, to send what comes and the backlog.
-  double need();
-  /// Seconds that the acceptance of a job of this rank would wait now.
+  /// Returns the fraction of all controllers' write budget that this controller needs to keep up
+  /// its recent write rate and to drain its backlog.
+  double needed_budget_share();
+  /// Returns the seconds that the acceptance of a job of this rank would wait in the queue now.
   double accept_delay(store::Rank rank) const;
-  /// Larger than the lower of the present and the announced limit of a value's size.
+  /// Returns true if the value exceeds the lower of the current and the announced value size limit.
   bool oversized(const store::Json& value) const;
-  /// Oversized, and such a value was refused: the announced limit is in force.
+  /// Returns true if the value is oversized and the state store has refused an oversized value
+  /// before, which shows that the announced limit is in force.
   bool refuses(const store::Json& value) const;
 
   WriteMetrics& metrics() { return metrics_; }
-  /// The body of `/stats` on writes.
+  /// Returns the section of `/stats` about writes.
   store::Json stats();
 
  private:
   using Writes = std::vector<QueuedWritePtr>;
   enum class BatchStep { more, done };
 
-  bool may_send() const;
-  double writes_due();
+  bool can_send() const;
+  double next_write_due();
   TransactionBatch next_batch();
   BatchStep add_candidates(TransactionBatch& batch);
   bool prepare(QueuedWrite& write);
@@ -68,7 +72,7 @@
   void on_returned(const Writes& writes, double sent_at, const CallDone& done);
   void on_committed(const Writes& writes, double sent_at, uint64_t revision);
   void on_precondition_failed(const Writes& writes, const std::vector<std::string>& failed_keys);
-  void on_rate_refused(const Writes& writes);
+  void on_rate_limited(const Writes& writes);
   void on_unavailable(const Writes& writes, double sent_at);
   void on_refused(const Writes& writes, int status);
   void pause_and_put_back(const Writes& writes, double pause_s);
@@ -83,11 +87,11 @@
   WriteMetrics metrics_;
   WriteDemand demand_;
   OutcomeLookup outcome_lookup_;
-  std::set<std::string> keys_in_flight_;  // written, or of a write whose outcome is unknown
+  std::set<std::string> keys_in_flight_;  // keys being written or with an unknown outcome
   int transactions_in_flight_ = 0;
-  double paused_until_ = 0;           // after a refusal for the rate, or an outage
-  bool value_limit_lowered_ = false;  // an oversized value was refused
-  uint64_t prepared_writes_ = 0;      // numbers the writes of this incarnation
+  double paused_until_ = 0;  // steady seconds; set after a 429 or a 503
+  bool oversized_value_refused_ = false;
+  uint64_t prepared_writes_ = 0;  // numbers the writes of this incarnation
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/writes/outcome_lookup.cpp
+++ b/src/coordination/state/writes/outcome_lookup.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// A read that failed is repeated about so often in the interval between renewals of the lease.
+// Number of times that a failed read is repeated in one lease renewal interval, approximately.
 constexpr double kRetriesPerInterval = 3;
 
 }  // namespace
@@ -23,7 +23,7 @@
     }
     const QueuedWritePtr write = retries_[i].write;
     retries_.erase(retries_.begin() + static_cast<long>(i));
-    read(write);
+    look_up(write);
   }
 }
 
@@ -33,7 +33,7 @@
   return due;
 }
 
-void OutcomeLookup::read(const QueuedWritePtr& write) {
+void OutcomeLookup::look_up(const QueuedWritePtr& write) {
   const double sent_at = context_.now;
   context_.call(ReadKey{write->request.key}, context_.tunables.poll_wait_s,
                 [this, sent_at, write](CallDone&& done) {
@@ -42,8 +42,8 @@
                                         done.status == response_status::kNotFound;
                   if (!answered || !reply) {
                     connectivity_.on_failure(sent_at, done.status);
-                    // The key stays blocked until its value is known: a write that follows could
-                    // not tell whether this one was carried out.
+                    // The key stays blocked until its value is known, as a later write of the key
+                    // could not tell whether this write was applied.
                     retries_.push_back(
                         {context_.now +
                              context_.jitter(context_.tunables.renew_every_s / kRetriesPerInterval),
@@ -56,7 +56,7 @@
 }
 
 void OutcomeLookup::on_read(const QueuedWritePtr& write, const KeyReply& reply) {
-  if (on_key_known) on_key_known(write->request.key);
+  if (on_key_read) on_key_read(write->request.key);
   uint64_t mod_revision = 0;
   std::string last_writer;
   if (reply.entry) {
@@ -68,7 +68,7 @@
     write->request.done(WriteOutcome::applied, mod_revision);
     return;
   }
-  // As long as the key is as the write expects it, a write that is still on its way may succeed.
+  // While the key is still at the expected mod revision, a delayed write may yet be applied.
   const bool may_still_apply = mod_revision == write->prepared.expected;
   write->request.done(may_still_apply ? WriteOutcome::unsettled : WriteOutcome::conflict,
                       mod_revision);
--- a/src/coordination/state/writes/outcome_lookup.h
+++ b/src/coordination/state/writes/outcome_lookup.h
@@ -1,9 +1,8 @@
-// Learns the outcome of writes whose transaction did not tell it: no answer came, or one of their
-// preconditions did not hold.
+// Determines the outcome of writes whose transaction got no answer or had a failed precondition.
 //
-// The key of each such write is read, and again after a pause when that read fails, too. Invariant:
-// `done` of the write runs once its key's value is known, and the key stays blocked until then. The
-// write pipeline begins the reads and repeats them in its tick.
+// Reads the key of each such write, and reads it again after a pause if the read fails. Invariant:
+// the write's `done` runs once the value of its key is known, and the key stays blocked until then.
+// The write pipeline starts the reads, and repeats failed ones on each tick.
 #pragma once
 #include <functional>
 #include <string>
@@ -21,15 +20,15 @@
   OutcomeLookup(Context& context, store::StateCache& state_cache, StoreConnectivity& connectivity)
       : context_(context), state_cache_(state_cache), connectivity_(connectivity) {}
 
-  /// Reads the write's key, and calls the write's `done` with the outcome.
-  void read(const QueuedWritePtr& write);
-  /// Repeats the reads that failed and whose pause is over.
+  /// Reads the key of the write, then calls the write's `done` with the outcome.
+  void look_up(const QueuedWritePtr& write);
+  /// Repeats the failed reads whose pause is over.
   void repeat_due_reads();
-  /// When `repeat_due_reads` has something to do; steady seconds.
+  /// Returns the steady time in seconds at which `repeat_due_reads` next has work.
   double next_due() const;
 
-  /// The key's value is known; called before `done` of the write.
-  std::function<void(const std::string& key)> on_key_known;
+  /// Called when the value of the key is known, before the write's `done`.
+  std::function<void(const std::string& key)> on_key_read;
 
  private:
   struct Retry {
--- a/src/coordination/state/writes/transaction_batch.cpp
+++ b/src/coordination/state/writes/transaction_batch.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// The state store takes 64 KiB; the rest is for the frame of the transaction.
-constexpr size_t kMostBytes = size_t{56} * 1024;
-constexpr size_t kFrameOfWriteBytes = 200;
-constexpr size_t kPreconditionsPerWrite = 4;
+// The state store accepts transactions of up to 64 KiB; the rest is for the transaction's overhead.
+constexpr size_t kMaxBytes = size_t{56} * 1024;
+constexpr size_t kWriteOverheadBytes = 200;
+constexpr size_t kMaxPreconditionsPerWrite = 4;
 
-size_t size_of(const QueuedWrite& write) {
+size_t estimated_size(const QueuedWrite& write) {
   const auto& value = write.prepared.value;
-  return kFrameOfWriteBytes + (value ? value->dump().size() : 0);
+  return kWriteOverheadBytes + (value ? value->dump().size() : 0);
 }
 
 }  // namespace
@@ -24,11 +24,11 @@
   std::set<std::string> needed = precondition_keys_;
   needed.insert(write.request.key);
   for (const auto& precondition : write.prepared.preconditions) needed.insert(precondition.key);
-  return needed.size() <= most_writes_ * kPreconditionsPerWrite && bytes_ + bytes <= kMostBytes;
+  return needed.size() <= max_writes_ * kMaxPreconditionsPerWrite && bytes_ + bytes <= kMaxBytes;
 }
 
 bool TransactionBatch::try_add(const QueuedWritePtr& write) {
-  const size_t bytes = size_of(*write);
+  const size_t bytes = estimated_size(*write);
   if (!fits(*write, bytes)) return false;
   keys_.insert(write->request.key);
   precondition_keys_.insert(write->request.key);
@@ -36,12 +36,12 @@
     precondition_keys_.insert(precondition.key);
   bytes_ += bytes;
   writes_.push_back(write);
-  full_ = write->alone || writes_.size() >= most_writes_;
+  full_ = write->send_alone || writes_.size() >= max_writes_;
   return true;
 }
 
-// A key's own write knows best at which revision it must be: its precondition goes before those
-// that other writes have on the same key.
+// The precondition of a write on its own key takes precedence over the preconditions that other
+// writes have on the same key, as it has the most accurate mod revision.
 Txn TransactionBatch::to_transaction() const {
   Txn transaction;
   std::map<std::string, uint64_t> preconditions;
--- a/src/coordination/state/writes/write_cause.h
+++ b/src/coordination/state/writes/write_cause.h
@@ -1,7 +1,7 @@
-// Why a record is written, and how urgent that makes it.
+// Causes of record writes and their priorities.
 //
-// The names of causes in `/stats` are frozen: operators' dashboards read them. A new cause goes
-// before `other`, with a name and, unless users wait for it, a priority.
+// The names of causes in `/stats` are frozen, as operators' dashboards read them. Add a new cause
+// before `other`, with a name and, unless users wait for the write, a priority.
 #pragma once
 #include <cstddef>
 
@@ -10,25 +10,25 @@
 enum class WriteCause {
   acceptance,
   cancellation,
-  lease_holder,  // a shard or the cluster's leadership is acquired or released
+  lease_holder,  // a shard or the cluster leadership is acquired or released
   placement,     // tasks are placed on machines
-  stop,          // tasks are to be stopped: an eviction, a drain, a notice
-  gang_phase,    // an attempt of a gang runs, or is over
+  stop,          // tasks are told to stop, by an eviction, a drain or a notice
+  gang_phase,    // an attempt of a gang has started running or has ended
   job_done,
-  task_end,      // of a job that goes on, or that was cancelled
-  running_mark,  // a task was seen running: for display and for the last start
+  task_end,      // a task ended in a job that continues or was cancelled
+  running_mark,  // a task was seen running; recorded for display and as the last start
   machine_rented,
   machine_address,
-  machine_reassignment_request,  // the cluster leader asks a shard's leader for a machine
+  machine_reassignment_request,  // the cluster leader asks a shard leader for a machine
   machine_reassignment_answer,   // the shard leader's answer: released, moved or kept
   machine_marked_for_deletion,
-  machine_deleted_with_tasks,  // deleted while tasks may have been on it
+  machine_deleted_with_tasks,  // deleted while tasks may have been running on it
   machine_deleted_empty,       // deleted after its release, empty
   other
 };
 inline constexpr size_t kWriteCauses = static_cast<size_t>(WriteCause::other) + 1;
 
-/// The cause's name in `/stats`.
+/// Returns the name of the cause in `/stats`.
 constexpr const char* name_of(WriteCause cause) {
   constexpr const char* kNames[kWriteCauses] = {"acceptance",
                                                 "cancellation",
@@ -50,17 +50,18 @@
   return kNames[static_cast<size_t>(cause)];
 }
 
-/// In the order in which writes leave when the budget is short.
+/// Priorities of writes, in the order in which writes are sent while the budget is short.
 enum class WritePriority {
-  request,    // users or leases of shards wait for it
-  placement,  // placements, stops that make room, machines that work waits for
-  end,        // ends that somebody waits for, reassignments of machines
-  coalesced,  // ends of single tasks: wait a while for other changes of the same record
-  background  // wait longer: nobody needs them soon
+  request,     // users or shard leases wait for the write
+  placement,   // placements, stops that free capacity, new machines that tasks wait for
+  completion,  // completions that a caller waits for, machine reassignments
+  coalesced,   // ends of single tasks, delayed to be merged with other changes of the same record
+  background   // delayed longer, as no reader needs the change soon
 };
 inline constexpr size_t kWritePriorities = static_cast<size_t>(WritePriority::background) + 1;
 
-/// A cause that is not listed is urgent: to wait for it unasked would be worse than to hurry.
+/// Returns the priority of a cause. A cause that is not listed is urgent, as an unneeded delay does
+/// more harm than an unneeded hurry.
 constexpr WritePriority priority_of(WriteCause cause) {
   switch (cause) {
     case WriteCause::placement:
@@ -69,7 +70,7 @@
     case WriteCause::gang_phase:
     case WriteCause::job_done:
     case WriteCause::machine_reassignment_request:
-    case WriteCause::machine_reassignment_answer: return WritePriority::end;
+    case WriteCause::machine_reassignment_answer: return WritePriority::completion;
     case WriteCause::task_end: return WritePriority::coalesced;
     case WriteCause::running_mark:
     case WriteCause::machine_address:
--- a/src/coordination/state/writes/write_demand.cpp
+++ b/src/coordination/state/writes/write_demand.cpp
@@ -11,7 +11,7 @@
 }
 
 void WriteDemand::record(size_t writes, double now) {
-  writes_per_second(now);  // decays the average up to now
+  writes_per_second(now);  // decays the average to the present
   writes_per_second_ += static_cast<double>(writes) * std::log(2.0) / half_life_s_;
 }
 
--- a/src/coordination/state/writes/write_demand.h
+++ b/src/coordination/state/writes/write_demand.h
@@ -1,7 +1,7 @@
-// How many writes a second this controller has sent lately, for dividing the budget by need.
+// The recent write rate of this controller, by which the write budget is divided among controllers.
 //
-// Owns one average that decays exponentially: writes of one half-life ago count half. The write
-// pipeline records what it sends.
+// Owns an average in writes per second that decays exponentially: a write sent one half-life ago
+// counts half. The write pipeline records the writes that it sends; times are in steady seconds.
 #pragma once
 #include <cstddef>
 
--- a/src/coordination/state/writes/write_metrics.h
+++ b/src/coordination/state/writes/write_metrics.h
@@ -1,8 +1,8 @@
-// Statistics of the write path: writes, changes and waits by cause, and what held up the writes
-// that waited: a budget that is spent, or one that lies idle.
+// Statistics of the write path: writes, changes and wait times by cause; for waiting writes, the
+// reason of the wait and the write budget that went unused meanwhile.
 //
-// Only counts; nothing is decided by it. The write pipeline and the shard controller report to it,
-// and `/stats` shows it.
+// These statistics influence no decision. The write pipeline and the shard controller record them,
+// and `/stats` reports them.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -12,14 +12,14 @@
 
 namespace rushtrestle::coordination {
 
-/// What kept writes from leaving at some moment.
+/// The reason why waiting writes are not sent at some moment.
 enum class StallReason {
-  none,              // nothing waits, or only what is being coalesced
-  write_rate,        // our share of the writes is spent
-  transaction_rate,  // our share of the requests is spent
-  in_flight,         // as many transactions as may be are under way
-  record_in_flight,  // all that waits is of records that are being written
-  pause,             // after a refusal for the rate or an outage
+  none,              // no write waits, or only writes that are being coalesced
+  write_rate,        // this controller's share of the write rate is used up
+  transaction_rate,  // this controller's share of the transaction rate is used up
+  in_flight,         // the maximum number of transactions is in flight
+  record_in_flight,  // all waiting writes are for records that are being written
+  pause,             // sending is paused after a rate limit refusal or an outage
   no_lease
 };
 
@@ -30,29 +30,30 @@
   WriteMetrics(const WriteMetrics&) = delete;
   WriteMetrics& operator=(const WriteMetrics&) = delete;
 
-  /// A change was made that is to be written.
+  /// Counts a change of a record that has to be written.
   void change(WriteCause cause);
-  /// A write was carried out, `waited_s` seconds after it was first asked for.
-  void put(WriteCause cause, double waited_s);
-  /// From `now` on (steady seconds) this holds up what waits; `writes_per_second` is our share of
-  /// the budget.
-  void stalled(StallReason by, double now, double writes_per_second);
-  /// A write did not fit beside others into a transaction's preconditions or bytes.
-  void cut_short() { ++transactions_cut_short_; }
-
-  /// As in `/stats`: writes, changes and waits in seconds by cause; seconds of waiting and writes
-  /// of our share that lay idle by stall reason.
+  /// Counts a write that was applied, sent `waited_s` seconds after it was first requested.
+  void record_write(WriteCause cause, double waited_s);
+  /// Sets the stall reason from `now` (steady seconds) on; `writes_per_second` is this controller's
+  /// share of the write rate.
+  void record_stall(StallReason reason, double now, double writes_per_second);
+  /// Counts a transaction that was closed early because the next write would have exceeded its
+  /// limit of preconditions or bytes.
+  void record_transaction_cut_short() { ++transactions_cut_short_; }
+
+  /// Returns the statistics as in `/stats`: writes, changes and wait times in seconds by cause;
+  /// seconds of stall and unused writes of this controller's share by stall reason.
   store::Json to_json() const;
 
  private:
-  struct Statistics;  // with the quantiles' estimators, whose headers are large
+  struct Statistics;  // defined in the .cpp: the headers of the quantile estimators are large
 
   store::Json causes_to_json() const;
   store::Json stalls_to_json() const;
 
   std::unique_ptr<Statistics> statistics_;
   StallReason stall_reason_ = StallReason::none;
-  double stalled_since_ = 0;  // 0: `stalled` was not called yet
+  double stalled_since_ = 0;  // steady seconds; 0: no stall reason was recorded yet
   uint64_t transactions_cut_short_ = 0;
 };
 
--- a/src/coordination/state/writes/write_queue.h
+++ b/src/coordination/state/writes/write_queue.h
@@ -1,11 +1,12 @@
-// What waits to be written, in the order in which it should leave.
+// The queue of waiting writes, which determines the order in which they are sent.
 //
-// Invariant: a write leaves by priority, then by the rank of the job that waits for it, then by
-// turns of the teams. Each priority has a longest wait; while writes below the first priority wait
-// longer than theirs, each priority has its share of the slots, half of it for the oldest. So what
-// is urgent goes first while the budget suffices, and nothing starves when it does not.
+// Invariant: writes are ordered by priority, then by the rank of the job that waits for the write,
+// then by weighted fair queueing among teams. Each priority has a longest wait. While a write below
+// the first priority has waited longer than that, each priority gets a share of the slots, of which
+// half or more is for its oldest overdue writes. Urgent writes thus go first while the budget
+// suffices, and no write starves when it does not.
 //
-// Pure: no clock and no input or output. The write pipeline is its only caller.
+// The queue reads no clock and does no I/O. The write pipeline is its only caller.
 #pragma once
 #include <algorithm>
 #include <array>
@@ -24,63 +25,68 @@
 
 class WriteQueue {
  public:
-  /// Whether a write of this key is under way, or chosen already.
+  /// Returns true if a write of this key is in flight or already chosen.
   using IsBusy = std::function<bool(const std::string& key)>;
 
   WriteQueue(const Tunables& tunables, const store::OperatorSettings& operators);
 
-  /// Gives the write its place; `now` and all times here are steady seconds.
+  /// Adds a new write. `now` and all other times here are in steady seconds.
   void add(const QueuedWritePtr& write, double now);
-  /// It could not be sent, and keeps its place.
+  /// Puts a write that has to be sent again back to its former position in the queue.
   void put_back(const QueuedWritePtr& write);
-  /// It did not fit beside others: the next transaction begins with it, or it would wait for ever
-  /// behind small ones.
-  void put_first(const QueuedWritePtr& write);
-  /// Removes a write that leaves.
-  void take(const QueuedWritePtr& write);
+  /// Puts back a write that did not fit into a transaction, as the first of the next transaction.
+  /// Otherwise the write would wait forever behind smaller ones.
+  void put_back_first(const QueuedWritePtr& write);
+  /// Removes a write that is about to be sent.
+  void remove(const QueuedWritePtr& write);
 
-  /// What may leave now in one transaction of `slots` writes, in the order in which to try it,
-  /// without taking it. `level` is what is left of the budget, in seconds' worth; keys of which
-  /// `is_busy` are passed over.
+  /// Returns the writes that may be sent now in one transaction of `slots` writes, in the order to
+  /// try them, without removing them. `level` is the remaining budget in seconds of its rate.
+  /// Writes whose key `is_busy` are skipped.
   std::vector<QueuedWritePtr> candidates(double now, double level, size_t slots,
                                          const IsBusy& is_busy) const;
 
-  /// Number of writes that wait for nothing but the budget: of those that are coalesced only the
-  /// overdue ones, and of these no more than are counted.
-  size_t pressing(double now) const;
-  bool anything_pressing(double now) const;
-  /// Writes below the first priority, for which users wait, have waited for too long.
+  /// Returns the number of writes that only wait for budget. Coalesced and background writes count
+  /// only when overdue, and up to a limit.
+  size_t waiting_for_budget(double now) const;
+  bool any_waiting_for_budget(double now) const;
+  /// Returns true if a write below the first priority, the one that users wait for, is overdue.
   bool contended(double now) const;
-  /// A transaction is about to be filled: the shares of the priorities are kept over several.
+  /// Marks the start of a transaction. The shares of the priorities hold over several transactions.
   void begin_transaction() { ++transactions_; }
   bool empty() const;
-  size_t waiting(WritePriority priority) const { return lines_[index(priority)].in_order.size(); }
-  /// Of a priority, what leaves before a new write for a job of this rank.
+  size_t waiting(WritePriority priority) const {
+    return subqueues_[index(priority)].in_order.size();
+  }
+  /// Returns the number of writes of a priority that are sent before a new write for a job of this
+  /// rank.
   size_t waiting_before(WritePriority priority, store::Rank rank) const;
-  /// When the next write may leave; `above_at(floor)` tells when the budget will stand above a
-  /// level.
-  template <class AboveAt>
-  double next_due(double now, AboveAt above_at) const;
+  /// Returns the time at which the next write may be sent. `time_above(floor)` returns the time at
+  /// which the budget level will be above `floor`.
+  template <class TimeAbove>
+  double next_due(double now, TimeAbove time_above) const;
 
  private:
-  /// Where a write stands among those of its priority.
-  struct Place {
-    int rank_order = 0;  // the highest rank first
-    double turn = 0;     // of the team
-    uint64_t number = 0;
+  /// The sort key of a write among the writes of its priority.
+  struct OrderKey {
+    int rank_order = 0;              // negative rank, so that the highest rank is first
+    double virtual_finish_time = 0;  // see QueuedWrite
+    uint64_t sequence_number = 0;
 
-    bool operator<(const Place& other) const {
-      return std::tie(rank_order, turn, number) <
-             std::tie(other.rank_order, other.turn, other.number);
+    bool operator<(const OrderKey& other) const {
+      return std::tie(rank_order, virtual_finish_time, sequence_number) <
+             std::tie(other.rank_order, other.virtual_finish_time, other.sequence_number);
     }
   };
   /// The writes of one priority.
-  struct Line {
-    double longest_wait_s = 0;  // after which a write is overdue
-    std::map<Place, QueuedWritePtr> in_order;
-    std::map<uint64_t, QueuedWritePtr> by_age;  // by number
-    double turn = 0;                            // of the last write that left
-    std::map<std::string, double> team_turns;   // of the last one added, while any waits
+  struct Subqueue {
+    double longest_wait_s = 0;  // a write that has waited this long is overdue
+    std::map<OrderKey, QueuedWritePtr> in_order;
+    std::map<uint64_t, QueuedWritePtr> by_age;  // by sequence number
+    // The highest virtual finish time of a removed write; reset to 0 when the subqueue is empty.
+    double virtual_time = 0;
+    // The virtual finish time of each team's last added write; cleared when the subqueue is empty.
+    std::map<std::string, double> team_finish_times;
 
     bool overdue(const QueuedWrite& write, double now) const {
       return now - write.queued_at >= longest_wait_s;
@@ -92,29 +98,29 @@
   class Selection;
 
   static size_t index(WritePriority priority) { return static_cast<size_t>(priority); }
-  static Place place_of(const QueuedWrite& write);
+  static OrderKey order_key_of(const QueuedWrite& write);
   double weight_of(const std::string& team) const;
   size_t share_of_slots(size_t priority, size_t slots) const;
   void choose_by_share(Selection& selection, double now, double level, size_t slots) const;
-  void choose_by_order(Selection& selection, double now, double level, size_t most) const;
+  void choose_by_order(Selection& selection, double now, double level, size_t max_count) const;
 
   std::map<std::string, double> team_weights_;
-  std::array<Line, kWritePriorities> lines_;
-  std::vector<QueuedWritePtr> first_;  // that did not fit, also in their lines
-  uint64_t next_number_ = 1;
+  std::array<Subqueue, kWritePriorities> subqueues_;
+  std::vector<QueuedWritePtr> retry_first_;  // writes that did not fit; also in their subqueue
+  uint64_t next_sequence_number_ = 1;
   uint64_t transactions_ = 0;
 };
 
-template <class AboveAt>
-double WriteQueue::next_due(double now, AboveAt above_at) const {
+template <class TimeAbove>
+double WriteQueue::next_due(double now, TimeAbove time_above) const {
   double due = std::numeric_limits<double>::infinity();
-  if (!first_.empty()) due = above_at(Tunables::kOverdueFloor[0]);
+  if (!retry_first_.empty()) due = time_above(Tunables::kOverdueFloor[0]);
   for (size_t priority = 0; priority < kWritePriorities; ++priority) {
-    const Line& line = lines_[priority];
-    if (line.by_age.empty()) continue;
-    const double overdue_at = line.by_age.begin()->second->queued_at + line.longest_wait_s;
-    due = std::min({due, above_at(Tunables::kWriteFloor[priority]),
-                    std::max(overdue_at, above_at(Tunables::kOverdueFloor[priority]))});
+    const Subqueue& subqueue = subqueues_[priority];
+    if (subqueue.by_age.empty()) continue;
+    const double overdue_at = subqueue.by_age.begin()->second->queued_at + subqueue.longest_wait_s;
+    due = std::min({due, time_above(Tunables::kWriteFloor[priority]),
+                    std::max(overdue_at, time_above(Tunables::kOverdueFloor[priority]))});
   }
   return std::max(due, now);
 }
--- a/src/coordination/state/writes/write_request.h
+++ b/src/coordination/state/writes/write_request.h
@@ -1,8 +1,7 @@
-// One write to the state store: what callers ask for, and what the queue keeps of it.
+// A write to the state store: the caller's request and its state in the queue.
 //
-// Callers fill a WriteRequest and give it to StateStoreClient::write; its `prepare` runs when the
-// write is about to leave, so that it carries what is desired then, and its `done` exactly once for
-// each write that was asked for.
+// Callers pass a WriteRequest to StateStoreClient::write. Its `prepare` runs just before the write
+// is sent, so that the write contains the value desired at that time. Its `done` runs exactly once.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,47 +17,47 @@
 
 enum class WriteOutcome {
   applied,
-  conflict,   // somebody else wrote first; the state cache holds what the key has now
-  unsettled,  // no answer and not there: it may yet be carried out, as long as the key keeps the
-              // mod revision that it has
-  refused,    // the state store does not take it
+  conflict,   // another writer came first; the state cache holds the current value of the key
+  unsettled,  // unanswered and not applied so far; may still be applied while the key keeps its
+              // current mod revision
+  refused,    // the state store does not accept the write
   skipped     // `prepare` found nothing to write
 };
 
-/// What `prepare` decides: a compare-and-swap of one key.
+/// The result of `prepare`: a compare-and-swap of one key.
 struct Prepared {
-  uint64_t expected = 0;                    // mod revision that the key must have; 0: absent
-  std::optional<store::Json> value;         // none: delete the key
-  uint64_t lease = 0;                       // that the key vanishes with; 0: none
-  std::vector<Precondition> preconditions;  // besides the key's own
+  uint64_t expected = 0;  // mod revision that the key must have; 0: the key must be absent
+  std::optional<store::Json> value;         // none: the write deletes the key
+  uint64_t lease = 0;                       // lease with which the key expires; 0: none
+  std::vector<Precondition> preconditions;  // in addition to `expected`
 };
 
-/// Field of a stored value that names the write which stored it.
+/// Field of a stored value that contains the id of the write which stored it.
 inline constexpr const char* kWriterField = "w";
 
 struct WriteRequest {
   std::string key;
   WriteCause cause = WriteCause::other;
-  store::Rank rank = store::Rank::production;  // of the job that waits for it
-  std::string team;  // of that job; writes of no team go before those of teams
-  /// False: nothing is to be written any more.
+  store::Rank rank = store::Rank::production;  // rank of the job that waits for the write
+  std::string team;  // team of that job; among equal ranks, writes without a team are sent first
+  /// Fills in the write, or returns false if there is nothing to write any more.
   std::function<bool(Prepared&)> prepare;
-  /// `mod_revision` is the one that the key has now, 0 when that is not known.
+  /// Receives the outcome and the current mod revision of the key; 0: unknown or absent.
   std::function<void(WriteOutcome, uint64_t mod_revision)> done;
 };
 
-/// A request in the queue or under way.
+/// A request in the queue or in flight.
 struct QueuedWrite {
   WriteRequest request;
   Prepared prepared;
-  std::string writer;  // stored with the value, so that the outcome of an unanswered write can be
-                       // told from the key
-  bool alone = false;  // its transaction was refused: which of the writes was at fault shows when
-                       // each goes alone
-  double queued_at = 0;
-  // Its place in the queue, kept when it has to be sent again.
-  uint64_t number = 0;
-  double turn = 0;
+  std::string writer;       // id of the write, stored with the value to tell whether an unanswered
+                            // write was applied
+  bool send_alone = false;  // its transaction was refused; sending each write in a transaction of
+                            // its own shows which one is invalid
+  double queued_at = 0;     // steady seconds
+  // The position in the queue, kept when the write has to be sent again.
+  uint64_t sequence_number = 0;
+  double virtual_finish_time = 0;  // of weighted fair queueing among teams
 
   WritePriority priority() const { return priority_of(request.cause); }
 };
--- a/tests/write_metrics_test.cpp
+++ b/tests/write_metrics_test.cpp
@@ -1,4 +1,4 @@
-// What the statistics of the write path tell.
+// Tests of the statistics of the write path.
 #include "coordination/state/writes/write_metrics.h"
 
 #include <gtest/gtest.h>
@@ -6,14 +6,14 @@
 namespace rushtrestle::coordination {
 namespace {
 
-TEST(WriteMetrics, TellsWhatWaitedAndWhatLayIdle) {
+TEST(WriteMetrics, ReportsWaitTimesByCauseAndUnusedWritesByStallReason) {
   WriteMetrics write_metrics;
   write_metrics.change(WriteCause::task_end);
   write_metrics.change(WriteCause::task_end);
-  for (int i = 0; i < 100; ++i) write_metrics.put(WriteCause::task_end, 0.01 * i);
-  write_metrics.stalled(StallReason::in_flight, 10, 5);
-  write_metrics.stalled(StallReason::write_rate, 12, 5);
-  write_metrics.stalled(StallReason::none, 15, 5);
+  for (int i = 0; i < 100; ++i) write_metrics.record_write(WriteCause::task_end, 0.01 * i);
+  write_metrics.record_stall(StallReason::in_flight, 10, 5);
+  write_metrics.record_stall(StallReason::write_rate, 12, 5);
+  write_metrics.record_stall(StallReason::none, 15, 5);
   const auto j = write_metrics.to_json();
   EXPECT_EQ(j["causes"]["task_end"]["changes"], 2);
   EXPECT_EQ(j["causes"]["task_end"]["puts"], 100);
--- a/tests/write_queue_test.cpp
+++ b/tests/write_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which writes leave.
+// Tests of the order in which queued writes are sent.
 #include "coordination/state/writes/write_queue.h"
 
 #include <gtest/gtest.h>
@@ -14,9 +14,10 @@
 namespace rushtrestle::coordination {
 namespace {
 
-constexpr double kPlenty = 1;    // of the budget
-constexpr double kShort = 0.2;   // enough for what is urgent
-constexpr double kSpent = -0.9;  // only users and what is overdue may still overdraw
+// Budget levels, in seconds of the write rate.
+constexpr double kFullBudget = 1;
+constexpr double kLowBudget = 0.2;         // enough for the first three priorities
+constexpr double kOverdrawnBudget = -0.9;  // enough for user requests and overdue placements
 constexpr size_t kSlots = 8;
 
 struct QueueFixture {
@@ -59,75 +60,78 @@
   fixture.add("batch", WriteCause::placement, 0);
   fixture.add("urgent", WriteCause::placement, 0, store::Rank::high);
   fixture.add("accept", WriteCause::acceptance, 0);
-  EXPECT_EQ(fixture.next(0.1, kPlenty), (Keys{"accept", "urgent", "batch", "end", "display"}));
-  EXPECT_EQ(fixture.next(0.1, kPlenty, kSlots, {"urgent"}),
+  EXPECT_EQ(fixture.next(0.1, kFullBudget), (Keys{"accept", "urgent", "batch", "end", "display"}));
+  EXPECT_EQ(fixture.next(0.1, kFullBudget, kSlots, {"urgent"}),
             (Keys{"accept", "batch", "end", "display"}));
 }
 
-// With one line a priority, a team's job waited behind a thousand of another team.
-TEST(WriteQueue, ATeamsFirstWriteDoesNotWaitBehindAnothersFlood) {
+// Guards against a single first-in-first-out queue per priority, in which a team's job waited
+// behind a thousand jobs of another team.
+TEST(WriteQueue, FirstWriteOfATeamDoesNotWaitBehindAnotherTeamsBacklog) {
   QueueFixture fixture;
   for (int i = 0; i < 100; ++i)
     fixture.add("flood-" + std::to_string(i), WriteCause::placement, 0, store::Rank::normal, "red");
   fixture.add("single", WriteCause::placement, 0, store::Rank::normal, "blue");
-  const auto next = fixture.next(0.1, kPlenty, 2);
+  const auto next = fixture.next(0.1, kFullBudget, 2);
   EXPECT_NE(std::find(next.begin(), next.begin() + 2, "single"), next.begin() + 2);
 }
 
-// Ends of single tasks and what is for display leave one by one while nobody else needs the budget,
-// and gather when it is short, each for its time.
-TEST(WriteQueue, GathersOnlyWhileTheBudgetIsShort) {
+// Task ends and display marks are sent immediately while budget is left. While it is short, each
+// waits for the coalescing time of its priority.
+TEST(WriteQueue, CoalescesOnlyWhileTheBudgetIsShort) {
   QueueFixture fixture;
   fixture.add("end", WriteCause::task_end, 0);
   fixture.add("display", WriteCause::running_mark, 0);
-  EXPECT_EQ(fixture.next(0.1, kPlenty), (Keys{"end", "display"}));
-  EXPECT_EQ(fixture.next(0.1, kShort), Keys{});
-  EXPECT_EQ(fixture.queue->pressing(0.1), 0u);
-  EXPECT_EQ(fixture.next(fixture.settings.heartbeat_interval_s, kShort), Keys{"end"});
-  EXPECT_EQ(fixture.next(fixture.settings.lease_s / 2, kShort), (Keys{"end", "display"}));
-  EXPECT_EQ(fixture.queue->pressing(fixture.settings.lease_s / 2), 2u);
+  EXPECT_EQ(fixture.next(0.1, kFullBudget), (Keys{"end", "display"}));
+  EXPECT_EQ(fixture.next(0.1, kLowBudget), Keys{});
+  EXPECT_EQ(fixture.queue->waiting_for_budget(0.1), 0u);
+  EXPECT_EQ(fixture.next(fixture.settings.heartbeat_interval_s, kLowBudget), Keys{"end"});
+  EXPECT_EQ(fixture.next(fixture.settings.lease_s / 2, kLowBudget), (Keys{"end", "display"}));
+  EXPECT_EQ(fixture.queue->waiting_for_budget(fixture.settings.lease_s / 2), 2u);
 }
 
-// Acceptances may overdraw the budget and placements could not as far: a flood of the first kept
-// the budget so low that nothing was placed at all.
-TEST(WriteQueue, WhatIsOverdueGoesWithAFloodOfAcceptances) {
+// Guards against starvation by acceptances, which may overdraw the budget further than placements:
+// a flood of acceptances kept the budget so low that no task was placed.
+TEST(WriteQueue, OverdueWritesAreSentDuringAFloodOfAcceptances) {
   QueueFixture fixture;
   for (int i = 0; i < 100; ++i)
     fixture.add("accept-" + std::to_string(i), WriteCause::acceptance, 0);
   fixture.add("placement", WriteCause::placement, 0);
   fixture.add("done", WriteCause::job_done, 0);
   fixture.add("display", WriteCause::running_mark, 0);
-  // Of the smallest part, a twenty-fifth of the puts, one leaves in four transactions of eight.
+  // The smallest share, a twenty-fifth of the writes, sends one write in four transactions of
+  // eight.
   constexpr int kTransactions = 4;
   std::set<std::string> left;
   for (int t = 0; t < kTransactions; ++t) {
     fixture.queue->begin_transaction();
     size_t slots = kSlots;
-    for (const auto& write :
-         fixture.queue->candidates(20, kSpent, kSlots, [](const std::string&) { return false; })) {
+    for (const auto& write : fixture.queue->candidates(20, kOverdrawnBudget, kSlots,
+                                                       [](const std::string&) { return false; })) {
       if (slots-- == 0) break;
       left.insert(write->request.key);
-      fixture.queue->take(write);
+      fixture.queue->remove(write);
     }
     EXPECT_TRUE(left.count("placement"));
   }
   for (const char* key : {"placement", "done", "display"}) EXPECT_TRUE(left.count(key)) << key;
 }
 
-// One that needs many conditions was passed over for small ones again and again.
-TEST(WriteQueue, WhatDidNotFitBeginsTheNextTransaction) {
+// Guards against a write with many preconditions being passed over repeatedly for small writes.
+TEST(WriteQueue, WriteThatDidNotFitBeginsTheNextTransaction) {
   QueueFixture fixture;
   for (int i = 0; i < 4; ++i) fixture.add("accept-" + std::to_string(i), WriteCause::acceptance, 0);
   const auto large = fixture.add("large", WriteCause::task_end, 0);
-  fixture.queue->take(large);
-  fixture.queue->put_first(large);
-  EXPECT_EQ(fixture.next(0.1, kSpent).front(), "large");
-  fixture.queue->take(large);
-  EXPECT_EQ(fixture.next(0.1, kSpent).front(), "accept-0");
+  fixture.queue->remove(large);
+  fixture.queue->put_back_first(large);
+  EXPECT_EQ(fixture.next(0.1, kOverdrawnBudget).front(), "large");
+  fixture.queue->remove(large);
+  EXPECT_EQ(fixture.next(0.1, kOverdrawnBudget).front(), "accept-0");
 }
 
-// Whatever comes, each write leaves within a number of transactions that follows from what stood
-// before it, though the budget never stands above what users may overdraw.
+// Whatever arrives, each write is sent within a number of transactions that is bounded by the
+// writes queued before it, although the budget stays overdrawn as far as only users may overdraw
+// it.
 RC_GTEST_PROP(WriteQueue, NothingStarves, ()) {
   QueueFixture fixture;
   const auto flood = *rc::gen::inRange<int>(1, 40);
@@ -140,20 +144,21 @@
   for (int step = 0; step < 400; ++step, now += 0.1) {
     for (int i = 0; i < flood % 12; ++i) {
       const auto cause = kCauses[static_cast<size_t>(*rc::gen::inRange<int>(0, 5))];
-      // Arrivals stop half-way: what is left has to leave.
+      // Arrivals stop after half of the steps; the remaining writes still have to be sent.
       if (step < 200 && i < 3)
         fixture.add(std::to_string(step) + "/" + std::to_string(i), cause, now);
     }
     size_t slots = kSlots;
     fixture.queue->begin_transaction();
-    for (const auto& write :
-         fixture.queue->candidates(now, kSpent, kSlots, [](const std::string&) { return false; })) {
+    for (const auto& write : fixture.queue->candidates(now, kOverdrawnBudget, kSlots,
+                                                       [](const std::string&) { return false; })) {
       if (slots-- == 0) break;
       longest = std::max(longest, now - write->queued_at);
-      fixture.queue->take(write);
+      fixture.queue->remove(write);
     }
   }
-  // Alone and never overdue, ends and display wait for a budget; with the flood they went along.
+  // Completion, coalesced and background writes may remain: at this budget level they are sent only
+  // together with other writes, as during the flood.
   RC_ASSERT(fixture.queue->waiting(WritePriority::request) == 0u);
   RC_ASSERT(fixture.queue->waiting(WritePriority::placement) == 0u);
   RC_ASSERT(longest < 20.0);
