--- a/src/coordination/membership/budget_division.cpp
+++ b/src/coordination/membership/budget_division.cpp
@@ -12,30 +12,31 @@
     : state_store_(state_store), order_(order), peers_(peers), shards_(shards) {}
 
 void BudgetDivision::update() {
-  std::vector<double> needs = needs_of_peers();
-  const double own_need = std::max(least_need(), state_store_.need());
+  std::vector<double> needs = peer_needs();
+  const double own_need = std::max(min_need(), state_store_.need());
   state_store_.set_weight(fair_share(own_need, std::move(needs)));
 }
 
-std::vector<double> BudgetDivision::needs_of_peers() {
+std::vector<double> BudgetDivision::peer_needs() {
   std::vector<double> needs;
   for (const auto& peer : peers_.peers()) {
-    if (peers_.fresh(peer)) {
-      needs.push_back(std::max(least_need(), told_need(peer.state)));
+    if (peers_.alive(peer)) {
+      needs.push_back(std::max(min_need(), reported_need(peer.state)));
     } else if (shards_.leads_a_shard(peer.settings.node)) {
-      // We don't hear it, but it is alive behind refused connections and spends, too: with each
-      // controller taking the whole budget for its own, all of them were refused for the rate.
+      // A peer that is not heard but still leads a shard runs behind refused connections and spends
+      // budget, too. When each controller took the whole budget for itself, the state store refused
+      // requests of all of them for exceeding the rate limit.
       needs.push_back(std::max(even_share(), state_store_.need()));
     }
   }
   return needs;
 }
 
-// A version that does not tell its need takes by its backlog, and reckons with others that do the
-// same.
-double BudgetDivision::told_need(const PeerState& state) const {
-  constexpr double kMostBacklog = 20;  // records; more count as that many
-  return state.budget_need.value_or(even_share() * (1 + std::min(state.backlog, kMostBacklog)) / 2);
+// A version that does not report its need computes its share from the backlogs, and assumes that
+// the other controllers do the same.
+double BudgetDivision::reported_need(const PeerState& state) const {
+  constexpr double kMaxBacklog = 20;  // records; a larger backlog counts as this many
+  return state.budget_need.value_or(even_share() * (1 + std::min(state.backlog, kMaxBacklog)) / 2);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/membership/budget_division.h
+++ b/src/coordination/membership/budget_division.h
@@ -1,10 +1,10 @@
-// This controller's part of the state store's write budget, which follows the work: who needs more
-// takes what others leave.
+// Computes this controller's share of the state store's write budget by need: a controller that
+// needs more than an even share gets what the others leave unused.
 //
-// All controllers spend one budget without a common ledger. Each reckons its own part from what it
-// and its peers say that they need, with the same pure function (`fair_share`), so that the parts
-// add up to the whole as far as all have heard the same. Owns no state; Membership calls `update`
-// in each tick.
+// All controllers spend one budget without central accounting. Each computes its own share from its
+// own need and the needs that its peers report, with the same pure function (`fair_share`), so that
+// the shares add up to the whole budget as far as all controllers have received the same reports.
+// BudgetDivision owns no state; Membership calls `update` in each tick.
 #pragma once
 #include <vector>
 
@@ -20,15 +20,15 @@
   BudgetDivision(StateStoreClient& state_store, const ControllerOrder& order,
                  const PeerDirectory& peers, const ShardAssignment& shards);
 
-  /// Reckons this controller's part anew and sets it in the state store client.
+  /// Recomputes this controller's share and sets it in the state store client.
   void update();
 
  private:
-  // All as parts of the whole budget.
+  // The needs and shares below are fractions of the whole budget.
   double even_share() const { return 1.0 / static_cast<double>(order_.size()); }
-  double least_need() const { return even_share() * Tunables::kIdleShare; }
-  double told_need(const PeerState& state) const;
-  std::vector<double> needs_of_peers();
+  double min_need() const { return even_share() * Tunables::kIdleShare; }
+  double reported_need(const PeerState& state) const;
+  std::vector<double> peer_needs();
 
   StateStoreClient& state_store_;
   const ControllerOrder& order_;
--- a/src/coordination/membership/budget_share.cpp
+++ b/src/coordination/membership/budget_share.cpp
@@ -8,21 +8,21 @@
 double fair_share(double own, std::vector<double> others) {
   std::vector<double> needs = std::move(others);
   needs.push_back(own);
-  constexpr double kMostTimes = 4;  // a flood of one counts for so many times the whole budget
-  for (double& need : needs) need = std::min(need, kMostTimes);
+  constexpr double kMaxNeed = 4;  // whole budgets; limits the weight of a flooded controller
+  for (double& need : needs) need = std::min(need, kMaxNeed);
   const auto count = static_cast<double>(needs.size());
-  constexpr double kAssuredPart = 0.5;  // of an even part
-  const double assured = kAssuredPart / count;
-  double left = 1;
+  constexpr double kGuaranteedPart = 0.5;  // of an even share
+  const double guaranteed = kGuaranteedPart / count;
+  double remaining = 1;
   double unmet = 0;
   for (const double need : needs) {
-    left -= std::min(need, assured);
-    unmet += std::max(0.0, need - assured);
+    remaining -= std::min(need, guaranteed);
+    unmet += std::max(0.0, need - guaranteed);
   }
-  const double own_unmet = std::max(0.0, needs.back() - assured);
-  const double own_assured = std::min(needs.back(), assured);
-  if (unmet > left) return own_assured + left * own_unmet / unmet;
-  return own_assured + own_unmet + (left - unmet) / count;
+  const double own_unmet = std::max(0.0, needs.back() - guaranteed);
+  const double own_guaranteed = std::min(needs.back(), guaranteed);
+  if (unmet > remaining) return own_guaranteed + remaining * own_unmet / unmet;
+  return own_guaranteed + own_unmet + (remaining - unmet) / count;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/membership/budget_share.h
+++ b/src/coordination/membership/budget_share.h
@@ -1,13 +1,14 @@
-// How controllers divide the state store's budget of writes among themselves: a pure function.
+// The pure function by which controllers divide the state store's write budget among themselves.
 // Called by BudgetDivision.
 #pragma once
 #include <vector>
 
 namespace rushtrestle::coordination {
 
-/// Our part of a budget of 1. Everybody has half of an even part if he needs it; the rest goes to
-/// who needs more, in proportion to that, and what nobody needs is dealt out evenly. `own` and
-/// `others` are needs as parts of the budget; one of more than four times the whole counts as that.
+/// Returns this controller's share of a budget of 1. Each controller is guaranteed half of an even
+/// share if it needs that much; the rest goes to those that need more, in proportion to their unmet
+/// need, and what nobody needs is divided evenly. `own` and `others` are needs as fractions of the
+/// budget; each is capped at four times the whole budget.
 double fair_share(double own, std::vector<double> others);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/membership/cancellation_exchange.cpp
+++ b/src/coordination/membership/cancellation_exchange.cpp
@@ -11,22 +11,22 @@
   for (const auto& peer : context_.settings.peers) coverage_[peer.node];
 }
 
-CancellationOffer CancellationExchange::offer(const PeerState& asker) const {
-  constexpr size_t kMostInMessage = 512;  // what is left follows at once
+CancellationOffer CancellationExchange::offer(const PeerState& requester) const {
+  constexpr size_t kMaxPerMessage = 512;  // the rest follows with the next query
   const auto& all = state_cache_.cancellations();
   CancellationOffer offer;
   offer.mark.incarnation = context_.incarnation;
-  if (asker.acknowledged && asker.acknowledged->incarnation == context_.incarnation &&
-      asker.acknowledged->count <= all.size())
-    offer.from = asker.acknowledged->count;
+  if (requester.acknowledged && requester.acknowledged->incarnation == context_.incarnation &&
+      requester.acknowledged->count <= all.size())
+    offer.from = requester.acknowledged->count;
   uint64_t& count = offer.mark.count = offer.from;
-  for (; count < all.size() && offer.cancellations.size() < kMostInMessage; ++count)
-    if (all[count].mod_revision > asker.revision) offer.cancellations.push_back(all[count]);
+  for (; count < all.size() && offer.cancellations.size() < kMaxPerMessage; ++count)
+    if (all[count].mod_revision > requester.revision) offer.cancellations.push_back(all[count]);
   offer.whole = count == all.size();
   return offer;
 }
 
-void CancellationExchange::accept(const PeerState& answer, double asked_at) {
+void CancellationExchange::apply_offer(const PeerState& answer, double query_sent_at) {
   if (!answer.offered_cancellations ||
       answer.offered_cancellations->mark.incarnation != answer.incarnation)
     return;
@@ -34,42 +34,42 @@
   auto& coverage = coverage_.at(answer.node);
   const bool continues =
       coverage.position.incarnation == answer.incarnation && offer.from <= coverage.position.count;
-  if (!continues && offer.from != 0) return;  // a gap: the next offer begins anew
+  if (!continues && offer.from != 0) return;  // a gap: the next offer fills it
   for (const auto& cancellation : offer.cancellations)
     state_cache_.add_unconfirmed_cancellation(cancellation);
   coverage.position = offer.mark;
   if (!offer.whole) {
-    peers_.query_at_once(answer.node);
+    peers_.query_next_tick(answer.node);
     return;
   }
-  // A peer that never read the keys may have acknowledged something in a previous incarnation that
-  // it does not know now.
+  // A peer that has never read the keys may lack cancellations that its previous incarnation
+  // acknowledged.
   if (!answer.current_age_s) return;
   constexpr double kClockDrift = 1.001;
-  cover_everybody_until(asked_at - std::max(0.0, *answer.current_age_s) * kClockDrift);
-  coverage.covered_until = std::max(coverage.covered_until, std::optional(asked_at));
+  extend_all_coverage(query_sent_at - std::max(0.0, *answer.current_age_s) * kClockDrift);
+  coverage.covered_until = std::max(coverage.covered_until, std::optional(query_sent_at));
 }
 
 const CancellationPosition& CancellationExchange::position(const std::string& peer) const {
   return coverage_.at(peer).position;
 }
 
-void CancellationExchange::cover_everybody_until(double time) {
+void CancellationExchange::extend_all_coverage(double time) {
   const std::optional<double> proven = time;
   for (auto& [peer, coverage] : coverage_)
     coverage.covered_until = std::max(coverage.covered_until, proven);
   previous_incarnations_covered_until_ = std::max(previous_incarnations_covered_until_, proven);
 }
 
-// Every cancellation that was acknowledged to any user before this steady time is known here: by
-// our state cache, or because the controller that acknowledged it has offered all that it knows.
-// Not the time of the last contact with the state store: renewals may succeed while changes,
-// cancellations among them, don't come. An empty optional is less than any time.
+// Every cancellation that was acknowledged to any user before the returned steady time is known
+// here, from this controller's state cache or from a complete offer of the controller that
+// acknowledged it. The last contact with the state store proves nothing: lease renewals may succeed
+// while changes, cancellations among them, do not arrive. An empty optional is less than any time.
 std::optional<double> CancellationExchange::covered_until() const {
   std::optional<double> cache_current_at;
   if (state_store_.ever_synced()) cache_current_at = state_store_.current_at();
-  // What our own previous incarnations acknowledged is durable, and so in every state cache that
-  // was read since.
+  // The cancellations that this controller's previous incarnations acknowledged are durable, so
+  // each state cache that was read since holds them.
   std::optional<double> until = previous_incarnations_covered_until_;
   if (state_store_.ever_synced()) until = context_.now;
   for (const auto& [peer, coverage] : coverage_)
@@ -77,19 +77,19 @@
   return until;
 }
 
-bool CancellationExchange::knows_cancellations() const {
+bool CancellationExchange::coverage_within_limit() const {
   const auto until = covered_until();
   return until && context_.now - *until < context_.tunables.disconnected_limit_s;
 }
 
 bool CancellationExchange::may_renew_workers() const {
-  // Without a lease the keys of our shards may have gone to others.
-  return state_store_.lease_valid() ? knows_cancellations() : may_renew_while_disconnected();
+  // Without a valid lease, other controllers may hold the keys of this controller's shards.
+  return state_store_.lease_valid() ? coverage_within_limit() : may_renew_while_disconnected();
 }
 
 bool CancellationExchange::may_renew_while_disconnected() const {
-  // A peer that has the state store tells that we are the ones cut off: yield.
-  return !peers_.any_has_state_store() && knows_cancellations();
+  // A peer that has the state store shows that this controller is the one cut off and must yield.
+  return !peers_.any_has_state_store() && coverage_within_limit();
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/membership/controller_order.cpp
+++ b/src/coordination/membership/controller_order.cpp
@@ -17,25 +17,25 @@
 
 ControllerOrder::ControllerOrder(const store::Settings& settings)
     : controllers_(sorted_controllers(settings)),
-      shards_(settings.nodes),
-      own_place_(
+      shard_count_(settings.nodes),
+      own_index_(
           static_cast<int>(std::find(controllers_.begin(), controllers_.end(), settings.node) -
                            controllers_.begin())) {}
 
 const std::string& ControllerOrder::home_of_shard(int shard) const {
-  return controllers_[static_cast<size_t>(shard % shards_)];
+  return controllers_[static_cast<size_t>(shard % shard_count_)];
 }
 
 int ControllerOrder::distance_from_shard_home(int shard) const {
-  return (own_place_ - shard + shards_) % shards_;
+  return (own_index_ - shard + shard_count_) % shard_count_;
 }
 
 const std::string& ControllerOrder::home_of_leader() const {
-  return controllers_[static_cast<size_t>(shards_ - 1)];
+  return controllers_[static_cast<size_t>(shard_count_ - 1)];
 }
 
 int ControllerOrder::distance_from_leader_home() const {
-  return (shards_ - 1 - own_place_ + shards_) % shards_;
+  return (shard_count_ - 1 - own_index_ + shard_count_) % shard_count_;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/membership/leader_election.cpp
+++ b/src/coordination/membership/leader_election.cpp
@@ -11,7 +11,7 @@
       order_(order),
       claims_(claims) {}
 
-void LeaderElection::claim_vacant() {
+void LeaderElection::claim_if_vacant() {
   claims_.claim_if_vacant(store::leader_key, order_.home_of_leader(),
                           order_.distance_from_leader_home());
 }
--- a/src/coordination/membership/lease_claims.cpp
+++ b/src/coordination/membership/lease_claims.cpp
@@ -20,14 +20,14 @@
   const auto* holder = state_cache_.lease_holder(key);
   if (holder && holder->present) {
     vacant_since_.erase(key);
-    // Our own previous incarnation is dead, whatever its lease says.
+    // This controller's previous incarnation is dead, even if its lease is still valid.
     if (holder->record.node == context_.settings.node &&
         holder->record.incarnation != context_.incarnation)
       claim(key, holder->mod_revision);
     return;
   }
   const double vacant_since = vacant_since_.emplace(key, context_.now).first->second;
-  // Home first; the others step in one after the other, later if home seems to be alive.
+  // Home claims first; the others follow one after the other, later if home seems to be alive.
   double wait = context_.tunables.renew_every_s / 2 * distance;
   if (distance > 0 && peers_.has_state_store(home)) wait += context_.tunables.state_lease_s / 2;
   constexpr uint64_t kAbsent = 0;
@@ -35,7 +35,7 @@
 }
 
 void LeaseClaims::claim(const std::string& key, uint64_t expected_mod_revision) {
-  if (!under_way_.insert(key).second) return;
+  if (!pending_writes_.insert(key).second) return;
   WriteRequest request;
   request.key = key;
   request.cause = WriteCause::lease_holder;
@@ -47,13 +47,13 @@
     prepared.lease = state_store_.lease();
     return true;
   };
-  request.done = [this, key](WriteOutcome, uint64_t) { under_way_.erase(key); };
+  request.done = [this, key](WriteOutcome, uint64_t) { pending_writes_.erase(key); };
   state_store_.write(std::move(request));
 }
 
 void LeaseClaims::release(const std::string& key,
                           std::function<std::optional<uint64_t>()> fencing_token) {
-  under_way_.insert(key);
+  pending_writes_.insert(key);
   WriteRequest request;
   request.key = key;
   request.cause = WriteCause::lease_holder;
@@ -63,7 +63,7 @@
     prepared.expected = *token;  // no value: the key is deleted
     return true;
   };
-  request.done = [this, key](WriteOutcome, uint64_t) { under_way_.erase(key); };
+  request.done = [this, key](WriteOutcome, uint64_t) { pending_writes_.erase(key); };
   state_store_.write(std::move(request));
 }
 
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -21,8 +21,10 @@
                 own.acknowledged = cancellations_.position(peer);
                 return own;
               },
-          .on_peer_answered = [this](const PeerState& answer,
-                                     double asked_at) { cancellations_.accept(answer, asked_at); }};
+          .on_peer_answered =
+              [this](const PeerState& answer, double query_sent_at) {
+                cancellations_.apply_offer(answer, query_sent_at);
+              }};
 }
 
 ShardAssignment::Events Membership::shard_events() {
@@ -33,15 +35,15 @@
 void Membership::tick() {
   peers_.send_due_queries();
   budget_.update();
-  shards_.finish_acquisitions();
+  shards_.complete_acquisitions();
   if (!state_store_.synced() || !state_store_.lease_valid()) return;
-  shards_.claim_vacant();
-  leader_.claim_vacant();
+  shards_.claim_vacant_shards();
+  leader_.claim_if_vacant();
   shards_.release_to_home_controllers();
 }
 
 double Membership::next_due() const {
-  if (claims_.any_vacant()) return context_.now;  // a key to claim: every moment may count
+  if (claims_.any_vacant()) return context_.now;  // claim the key as soon as its turn comes
   return peers_.next_due();
 }
 
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -1,16 +1,17 @@
-// Who is alive, who leads which shard and who is the cluster leader: the modules of this package
-// put together, and the order in which they do their work.
+// Determines which controllers are alive, which one leads each shard and which one is the cluster
+// leader: combines the modules of this package and calls them in a fixed order.
 //
-// Membership owns the modules and decides nothing itself: what it is asked goes to the module that
-// knows. PeerDirectory has the peers' own words and the failure detector, CancellationExchange says
-// whether workers may be answered, ShardAssignment and LeaderElection hold the lease keys, by way
-// of LeaseClaims, and BudgetDivision reckons this controller's part of the write budget.
+// Membership owns the modules and decides nothing itself: it forwards each request to the module in
+// charge. PeerDirectory has the states that peers report and the failure detector,
+// CancellationExchange decides whether workers may be answered, ShardAssignment and LeaderElection
+// hold the lease keys, by way of LeaseClaims, and BudgetDivision computes this controller's share
+// of the write budget.
 //
 // Invariant: no key is claimed or released without a valid lease and a synced state cache.
 //
-// Called by Core, which sets the callbacks before anything else; all other packages ask it who
-// leads, with which fencing token, and whether workers may be answered. Names of controllers are
-// the `node` of the settings.
+// Called by Core, which sets the callbacks before anything else; all other packages ask Membership
+// who leads, with which fencing token, and whether workers may be answered. Controllers are named
+// by the `node` of the settings.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -34,75 +35,76 @@
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// This controller's state, as it is told to peers.
+  /// Returns this controller's state, as it is sent to peers.
   std::function<PeerState()> own_state;
-  /// A shard is led here from now on.
+  /// Called when this controller has acquired a shard and leads it from now on.
   std::function<void(int shard)> on_shard_acquired;
-  /// A shard that was acquired is led here no more.
+  /// Called when this controller no longer leads a shard that it had acquired.
   std::function<void(int shard)> on_shard_lost;
 
-  /// Does what is due by the clock. To be called after each batch of commands.
+  /// Does what is due by the clock. Must be called after each batch of commands.
   void tick();
-  /// Steady time at which `tick` has something to do by the clock alone; a time that has passed: as
-  /// soon as can be.
+  /// Steady time at which `tick` has something to do by the clock alone; a time in the past means
+  /// as soon as possible.
   double next_due() const;
-  /// A peer has told its state.
+  /// Handles the state of a peer.
   void on_peer_state(const PeerState& state) { peers_.on_peer_state(state); }
-  /// A peer has told its state and is told ours in the answer.
+  /// Handles the state of a peer that came as a query; the answer carries this controller's state.
   void on_peer_query(const PeerState& state) { peers_.on_peer_query(state); }
-  /// The state cache has a new value, or none, for a key that is held by lease.
+  /// Handles a new value, or the absence, of a lease key in the state cache.
   void on_lease_holder_changed(const std::string& key);
-  /// Our lease at the state store has ended, and with it all keys that we held by it.
+  /// Handles the end of this controller's lease at the state store, which also removes its keys.
   void on_lease_lost();
 
-  /// Number of shards; one a controller.
-  int shards() const { return order_.shards(); }
-  /// -1: the settings don't have the team.
+  /// Number of shards: one per controller.
+  int shards() const { return order_.shard_count(); }
+  /// Shard of the team's jobs; -1: the team is not in the settings.
   int shard_of_team(const std::string& team) const {
     constexpr int kUnknownTeam = -1;
     return shards_.shard_of_team(team).value_or(kUnknownTeam);
   }
-  /// Fencing token: mod revision of the shard's key if this controller holds it and its state cache
-  /// covers that; 0 otherwise.
+  /// Fencing token: mod revision of the shard's key if this controller holds the key and its state
+  /// cache covers that revision; 0 otherwise.
   uint64_t shard_token(int shard) const { return shards_.fencing_token(shard).value_or(0); }
-  /// Controller that holds the shard according to the state cache; empty: none known.
+  /// Controller that leads the shard according to the state cache; empty: none known.
   std::string shard_leader(int shard) const { return shards_.leader_of(shard).value_or(""); }
-  /// The controller holds some shard according to the state cache.
+  /// Whether the controller leads some shard according to the state cache.
   bool leads_a_shard(const std::string& node) const { return shards_.leads_a_shard(node); }
 
-  /// This controller may act as the cluster leader now.
+  /// Whether this controller may act as the cluster leader now.
   bool leading() const { return leader_.leading(); }
-  /// Mod revision of the cluster leader's key if it names this controller; 0 otherwise.
+  /// Mod revision of the cluster leader's key if the key names this controller; 0 otherwise.
   uint64_t leader_revision() const { return leader_.mod_revision().value_or(0); }
 
-  /// May this controller answer workers of the shards that it leads?
+  /// Whether this controller may answer workers of the shards that it leads.
   bool may_renew_workers() const { return cancellations_.may_renew_workers(); }
-  /// Without a lease: may a worker's lease be renewed all the same?
+  /// Whether a worker's lease may be renewed without a valid lease at the state store.
   bool may_renew_while_disconnected() const {
     return cancellations_.may_renew_while_disconnected();
   }
-  /// In answer to a peer: the cancellations that it has not shown to know.
-  CancellationOffer offer_cancellations(const PeerState& asker) const {
-    return cancellations_.offer(asker);
+  /// Returns, for the answer to a peer, the cancellations that the peer's query does not show it to
+  /// know.
+  CancellationOffer offer_cancellations(const PeerState& requester) const {
+    return cancellations_.offer(requester);
   }
 
-  /// A peer that we hear has heard from the machine lately.
-  bool peer_hears(const std::string& machine) const { return peers_.peer_hears(machine); }
-  /// The controllers that we hear, but for this one.
-  std::vector<std::string> controllers_heard() const { return peers_.controllers_heard(); }
-  /// Address of a controller that we hear; empty: we don't.
+  /// Whether a live peer reports recent heartbeats from the machine.
+  bool peer_hears(const std::string& machine) const { return peers_.any_hears_machine(machine); }
+  /// Names of the live peers.
+  std::vector<std::string> controllers_heard() const { return peers_.live_peers(); }
+  /// Address of a live peer; empty: the peer is not alive, or not in the settings.
   std::string address_of(const std::string& node) const {
     return peers_.address_of(node).value_or("");
   }
-  /// A controller that we hear and that hears `node`; empty: none.
+  /// Name of a live peer that reports `node` as alive; empty: none.
   std::string relay_peer(const std::string& node) const {
     return peers_.relay_peer(node).value_or("");
   }
-  /// Every peer was heard lately and lacks the state store.
-  bool outage_shared() const { return peers_.outage_shared(); }
-  /// Every other controller has said within the last moments that it reads this record format.
-  bool all_read(uint64_t record_format) const { return peers_.all_read(record_format); }
-  /// For operators: what each controller runs.
+  /// Whether every peer is alive and reports that it lacks the state store; false without peers.
+  bool outage_shared() const { return peers_.all_lack_state_store(); }
+  /// Whether every peer is alive and reports that it reads this record format.
+  bool all_read(uint64_t record_format) const { return peers_.all_read_format(record_format); }
+  /// Program version and record format of each controller, for operators.
   store::Json versions() const { return peers_.versions(); }
 
  private:
--- a/src/coordination/membership/peer_directory.cpp
+++ b/src/coordination/membership/peer_directory.cpp
@@ -29,18 +29,18 @@
   peer.next_query_at = context_.now + context_.jitter(context_.tunables.peer_every_s);
   context_.call(SendPeerState{peer.settings.address, events_.own_state_for(peer.settings.node)},
                 context_.tunables.peer_every_s,
-                [this, &peer, asked_at = context_.now](CallDone&& done) {
-                  on_query_done(peer, asked_at, done);
+                [this, &peer, query_sent_at = context_.now](CallDone&& done) {
+                  on_query_done(peer, query_sent_at, done);
                 });
 }
 
-void PeerDirectory::on_query_done(Peer& peer, double asked_at, const CallDone& done) {
+void PeerDirectory::on_query_done(Peer& peer, double query_sent_at, const CallDone& done) {
   constexpr int kStatusOk = 200;
   peer.query_in_flight = false;
   const auto* answer = std::get_if<PeerState>(&done.reply);
   if (done.status != kStatusOk || !answer || answer->node != peer.settings.node) return;
   on_peer_state(*answer);
-  events_.on_peer_answered(*answer, asked_at);
+  events_.on_peer_answered(*answer, query_sent_at);
 }
 
 double PeerDirectory::next_due() const {
@@ -50,24 +50,24 @@
   return due;
 }
 
-void PeerDirectory::query_at_once(const std::string& node) {
+void PeerDirectory::query_next_tick(const std::string& node) {
   for (auto& peer : peers_)
     if (peer.settings.node == node) peer.next_query_at = context_.now;
 }
 
 void PeerDirectory::on_peer_state(const PeerState& state) {
-  // Delayed by a network partition or by a pause of our own process, what a peer said minutes ago
-  // would count as said now: that it lacks the state store, say, or that an earlier incarnation is
-  // alive.
+  // A network partition or a pause of this process may deliver a state minutes late. It must not
+  // count as current: it may say that the peer lacks the state store, or that an earlier
+  // incarnation is alive.
   if (state.at <
       context_.wall - context_.tunables.peer_fresh_s - 2 * context_.settings.clock_error_s)
     return;
   for (auto& peer : peers_) {
     if (peer.settings.node != state.node) continue;
-    const bool was_steady = fresh(peer) && peer.state.incarnation == state.incarnation &&
+    const bool was_stable = alive(peer) && peer.state.incarnation == state.incarnation &&
                             peer.state.has_state_store && peer.state.synced;
-    const bool still_steady = was_steady && state.has_state_store && state.synced;
-    if (!still_steady) peer.steady_since = context_.now;
+    const bool still_stable = was_stable && state.has_state_store && state.synced;
+    if (!still_stable) peer.stable_since = context_.now;
     peer.state = state;
     peer.machines_heard.clear();
     peer.machines_heard.insert(std::make_move_iterator(peer.state.machines_heard.begin()),
@@ -78,10 +78,11 @@
   }
 }
 
-// Both sides of the exchange know of each other now, so our own query can wait: with each asking
-// the other in every period, a fifth of all messages of a busy controller were these. Not while
-// either side lacks the state store: then cancellations have to be exchanged, and only the answer
-// to our own query brings the peer's.
+// A query and its answer inform both sides, so this controller's own query to the peer is
+// postponed: when each side queried the other in every period, these queries were a fifth of all
+// messages of a busy controller. The query is not postponed while either side lacks the state
+// store: then cancellations have to be exchanged, and only the answer to this controller's own
+// query brings the peer's.
 void PeerDirectory::on_peer_query(const PeerState& state) {
   on_peer_state(state);
   if (state_store_.disconnected() || !state.has_state_store) return;
@@ -93,54 +94,54 @@
 
 bool PeerDirectory::any_has_state_store() const {
   return std::any_of(peers_.begin(), peers_.end(),
-                     [&](const Peer& peer) { return fresh(peer) && peer.state.has_state_store; });
+                     [&](const Peer& peer) { return alive(peer) && peer.state.has_state_store; });
 }
 
 bool PeerDirectory::has_state_store(const std::string& node) const {
   const Peer* peer = find(node);
-  return peer && fresh(*peer) && peer->state.has_state_store;
+  return peer && alive(*peer) && peer->state.has_state_store;
 }
 
-bool PeerDirectory::steady(const std::string& node) const {
+bool PeerDirectory::stable(const std::string& node) const {
   const Peer* peer = find(node);
-  return peer && fresh(*peer) && peer->state.has_state_store && peer->state.synced &&
-         context_.now - peer->steady_since >= context_.tunables.home_steady_s;
+  return peer && alive(*peer) && peer->state.has_state_store && peer->state.synced &&
+         context_.now - peer->stable_since >= context_.tunables.home_steady_s;
 }
 
-bool PeerDirectory::outage_shared() const {
+bool PeerDirectory::all_lack_state_store() const {
   return !peers_.empty() && std::all_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return fresh(peer) && !peer.state.has_state_store;
+    return alive(peer) && !peer.state.has_state_store;
   });
 }
 
-bool PeerDirectory::all_read(uint64_t record_format) const {
+bool PeerDirectory::all_read_format(uint64_t record_format) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return fresh(peer) && peer.state.record_format >= record_format;
+    return alive(peer) && peer.state.record_format >= record_format;
   });
 }
 
-bool PeerDirectory::peer_hears(const std::string& machine) const {
+bool PeerDirectory::any_hears_machine(const std::string& machine) const {
   return std::any_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
-    return fresh(peer) && peer.machines_heard.count(machine) != 0;
+    return alive(peer) && peer.machines_heard.count(machine) != 0;
   });
 }
 
-std::vector<std::string> PeerDirectory::controllers_heard() const {
+std::vector<std::string> PeerDirectory::live_peers() const {
   std::vector<std::string> heard;
   for (const auto& peer : peers_)
-    if (fresh(peer)) heard.push_back(peer.settings.node);
+    if (alive(peer)) heard.push_back(peer.settings.node);
   return heard;
 }
 
 std::optional<std::string> PeerDirectory::address_of(const std::string& node) const {
   const Peer* peer = find(node);
-  if (!peer || !fresh(*peer)) return std::nullopt;
+  if (!peer || !alive(*peer)) return std::nullopt;
   return peer->settings.address;
 }
 
 std::optional<std::string> PeerDirectory::relay_peer(const std::string& node) const {
   for (const auto& peer : peers_) {
-    if (!fresh(peer) || peer.settings.node == node) continue;
+    if (!alive(peer) || peer.settings.node == node) continue;
     const auto& heard_by_peer = peer.state.nodes;
     if (std::find(heard_by_peer.begin(), heard_by_peer.end(), node) != heard_by_peer.end())
       return peer.settings.node;
@@ -154,8 +155,8 @@
        {{"version", program_version()}, {"record_format", store::kRecordFormat}}}};
   for (const auto& peer : peers_) {
     auto& entry = versions[peer.settings.node];
-    entry["heard"] = fresh(peer);
-    if (!fresh(peer)) continue;
+    entry["heard"] = alive(peer);
+    if (!alive(peer)) continue;
     entry["version"] = peer.state.version.empty() ? "before 0.2.0" : peer.state.version;
     entry["record_format"] = peer.state.record_format;
   }
--- a/src/coordination/membership/shard_assignment.cpp
+++ b/src/coordination/membership/shard_assignment.cpp
@@ -31,7 +31,7 @@
 std::optional<int> ShardAssignment::shard_of_team(const std::string& team) const {
   const auto it = std::lower_bound(teams_.begin(), teams_.end(), team);
   if (it == teams_.end() || *it != team) return std::nullopt;
-  return static_cast<int>(it - teams_.begin()) % order_.shards();
+  return static_cast<int>(it - teams_.begin()) % order_.shard_count();
 }
 
 std::optional<uint64_t> ShardAssignment::fencing_token(int shard) const {
@@ -47,14 +47,14 @@
 }
 
 bool ShardAssignment::leads_a_shard(const std::string& node) const {
-  for (int shard = 0; shard < order_.shards(); ++shard)
+  for (int shard = 0; shard < order_.shard_count(); ++shard)
     if (leader_of(shard) == node) return true;
   return false;
 }
 
-// Work begins once the state cache covers all that earlier shard leaders wrote: a job's end noticed
-// before that could not be written, and was lost.
-void ShardAssignment::finish_acquisitions() {
+// Work begins once the state cache covers all that earlier shard leaders wrote: when a job's end
+// was noticed before that, it could not be written and was lost.
+void ShardAssignment::complete_acquisitions() {
   for (const int shard : shards_being_acquired()) {
     const auto token = fencing_token(shard);
     if (!token) continue;
@@ -72,21 +72,21 @@
   return shards;
 }
 
-void ShardAssignment::claim_vacant() {
-  for (int shard = 0; shard < order_.shards(); ++shard)
+void ShardAssignment::claim_vacant_shards() {
+  for (int shard = 0; shard < order_.shard_count(); ++shard)
     claims_.claim_if_vacant(store::shard_key(shard), order_.home_of_shard(shard),
                             order_.distance_from_shard_home(shard));
 }
 
 void ShardAssignment::release_to_home_controllers() {
-  for (const auto& [shard, lease] : leases_) release_if_home_is_steady(shard);
+  for (const auto& [shard, lease] : leases_) release_if_home_is_stable(shard);
 }
 
-void ShardAssignment::release_if_home_is_steady(int shard) {
+void ShardAssignment::release_if_home_is_stable(int shard) {
   const std::string& home = order_.home_of_shard(shard);
-  if (home == context_.settings.node || !peers_.steady(home)) return;
+  if (home == context_.settings.node || !peers_.stable(home)) return;
   const std::string key = store::shard_key(shard);
-  if (claims_.under_way(key)) return;
+  if (claims_.write_pending(key)) return;
   context_.info("shard_release_requested shard=" + std::to_string(shard) + " home=" + home);
   claims_.release(key, [this, shard] { return fencing_token(shard); });
 }
@@ -97,7 +97,7 @@
   const auto it = leases_.find(shard);
   const bool known = it != leases_.end();
   if (own_revision && !(known && it->second.mod_revision == *own_revision)) {
-    // Lost and taken again, with no change seen in between.
+    // The key was lost and acquired again, without a change seen in between.
     if (known && !it->second.acquiring) events_.on_shard_lost(shard);
     leases_[shard] = {.mod_revision = *own_revision, .acquiring = true};
   } else if (!own_revision && known) {
--- a/src/coordination/membership/shard_assignment.h
+++ b/src/coordination/membership/shard_assignment.h
@@ -1,15 +1,15 @@
-// Which shard a team's jobs belong to, and which shards this controller leads.
+// Determines which shard a team's jobs belong to, and which shards this controller leads.
 //
-// Owns the leases of shards that this controller holds, each with its fencing token: the mod
-// revision of the shard's key, by which every write of a shard leader is conditioned, and which
-// commands to workers carry. A shard goes through three steps: vacant; acquiring, when the key
-// names this controller but the state cache does not cover the key's mod revision yet; held.
+// ShardAssignment owns the shard leases that this controller holds, each with its fencing token:
+// the mod revision of the shard's key, on which every write of a shard leader is conditioned, and
+// which commands to workers carry. A shard passes through three states: vacant; acquiring, when the
+// key names this controller but the state cache does not cover the key's mod revision yet; held.
 //
 // Invariant: work on a shard begins only when the state cache covers all that earlier shard leaders
 // wrote, and `on_shard_lost` follows every `on_shard_acquired` before the next one of that shard.
 //
-// A shard has a home controller. Another one that led it while home was away releases it when home
-// has been back for `home_steady_s` (fail back).
+// Each shard has a home controller. Another controller that led the shard while home was
+// unavailable releases the shard when home has been back for `home_steady_s` (failback).
 //
 // Called by Membership: in each tick, when a shard's key changes, and when the lease is lost.
 #pragma once
@@ -29,9 +29,9 @@
 class ShardAssignment {
  public:
   struct Events {
-    /// The shard is led here from now on: `fencing_token` gives its token.
+    /// Called when this controller has acquired the shard; `fencing_token` returns its token.
     std::function<void(int shard)> on_shard_acquired;
-    /// A shard that was acquired is led here no more.
+    /// Called when this controller no longer leads a shard that it had acquired.
     std::function<void(int shard)> on_shard_lost;
   };
 
@@ -39,33 +39,34 @@
                   const ControllerOrder& order, const PeerDirectory& peers, LeaseClaims& claims,
                   Events events);
 
-  /// Tells of shards whose key the state cache covers by now.
-  void finish_acquisitions();
-  /// Claims vacant shards when it is this controller's turn.
-  void claim_vacant();
-  /// Releases shards whose home controllers are back.
+  /// Calls `on_shard_acquired` for the shards whose key the state cache covers by now.
+  void complete_acquisitions();
+  /// Claims the vacant shards for which this controller's turn has come.
+  void claim_vacant_shards();
+  /// Releases the shards whose home controller is another one and is stable.
   void release_to_home_controllers();
-  /// The state cache has a new value, or none, for the key of a shard.
+  /// Handles a new value, or the absence, of a shard's key in the state cache.
   void on_lease_holder_changed(const std::string& key);
-  /// The lease at the state store has ended, and with it the keys.
+  /// Handles the end of the lease at the state store, which also removes the keys.
   void on_lease_lost();
 
-  /// The team's shard; none: the settings don't have the team.
+  /// Shard of the team's jobs; none: the team is not in the settings.
   std::optional<int> shard_of_team(const std::string& team) const;
-  /// Mod revision of the shard's key if this controller holds it and the state cache covers it.
+  /// Mod revision of the shard's key; none: this controller does not hold the key, or the state
+  /// cache does not cover that revision.
   std::optional<uint64_t> fencing_token(int shard) const;
-  /// Controller that holds the shard according to the state cache.
+  /// Controller that leads the shard according to the state cache; none: not known, or vacant.
   std::optional<std::string> leader_of(int shard) const;
-  /// According to the state cache.
+  /// Whether the controller leads some shard according to the state cache.
   bool leads_a_shard(const std::string& node) const;
 
  private:
   struct HeldLease {
     uint64_t mod_revision = 0;  // of the shard's key
-    bool acquiring = true;      // `on_shard_acquired` is still to come
+    bool acquiring = true;      // `on_shard_acquired` was not called yet
   };
   std::vector<int> shards_being_acquired() const;
-  void release_if_home_is_steady(int shard);
+  void release_if_home_is_stable(int shard);
 
   Context& context_;
   const store::StateCache& state_cache_;
@@ -73,7 +74,8 @@
   const PeerDirectory& peers_;
   LeaseClaims& claims_;
   const Events events_;
-  std::vector<std::string> teams_;   // sorted by name; the i-th goes to shard i, going round
+  // Sorted by name; team i belongs to shard i modulo the number of shards.
+  std::vector<std::string> teams_;
   std::map<int, HeldLease> leases_;  // by shard
 };
 
--- a/tests/budget_share_test.cpp
+++ b/tests/budget_share_test.cpp
@@ -1,4 +1,4 @@
-// How the controllers divide the state store's budget by need.
+// Tests the division of the state store's write budget among the controllers by need.
 #include "coordination/membership/budget_share.h"
 
 #include <gtest/gtest.h>
@@ -11,17 +11,18 @@
 namespace rushtrestle::coordination {
 namespace {
 
-TEST(BudgetShare, IdleControllersLeaveTheirs) {
-  // Of ten, two lack something: each gets what the others leave, not a tenth.
+TEST(BudgetShare, IdleControllersLeaveTheirUnusedShare) {
+  // Two of ten controllers need more than an even share: each gets half of what the idle ones
+  // leave, 0.4 instead of 0.1.
   EXPECT_NEAR(fair_share(2, {2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.4,
               1e-9);
   EXPECT_NEAR(fair_share(0.025, {2, 2, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025, 0.025}), 0.025,
               1e-9);
-  // The leader with a fleet to record gets more than a holder with some jobs.
+  // A cluster leader that records a whole fleet gets more than a shard leader with few jobs.
   EXPECT_GT(fair_share(0.9, {0.4, 0.4}), 0.45);
 }
 
-RC_GTEST_PROP(BudgetShare, AddsUpAndTakesFromNobody, ()) {
+RC_GTEST_PROP(BudgetShare, SharesAddUpAndMeetTheGuarantee, ()) {
   const auto needs =
       *rc::gen::suchThat(rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 400)),
                          [](const auto& v) { return !v.empty() && v.size() < 20; });
