--- a/src/coordination/fleet/cloud_inventory.cpp
+++ b/src/coordination/fleet/cloud_inventory.cpp
@@ -44,14 +44,15 @@
 }
 
 void CloudInventory::compare_with_records(const std::vector<CloudMachine>& machines) {
-  AdoptionShares shares(context_, state_cache_, membership_, unrecorded_);
-  // While an answer is under way to us, a machine without a record may be one that it names.
-  const bool answer_under_way = provisioner_.request_in_flight();
+  OrphanShardSelector shard_selector(context_, state_cache_, membership_, unrecorded_);
+  // A provisioning request in flight may have created machines that its reply will name, so a
+  // machine without a record is not adopted meanwhile.
+  const bool provisioning_in_flight = provisioner_.request_in_flight();
   for (const auto& machine : machines) {
     if (machine.state == CloudMachine::State::running) running_.insert(machine.id);
     const auto* known = state_cache_.machine(machine.id);
     if (!known && !unrecorded_.contains(machine.id)) {
-      if (!answer_under_way) adopt(machine, shares);
+      if (!provisioning_in_flight) adopt(machine, shard_selector);
     } else if (known && machine.state == CloudMachine::State::failed &&
                !known->record.terminating()) {
       mark_failed_for_deletion(machine.id);
@@ -59,7 +60,7 @@
   }
 }
 
-void CloudInventory::adopt(const CloudMachine& orphan, AdoptionShares& shares) {
+void CloudInventory::adopt(const CloudMachine& orphan, OrphanShardSelector& shard_selector) {
   MachineRecord record;
   record.id = orphan.id;
   record.address = "";
@@ -67,8 +68,8 @@
   record.zone = orphan.zone;
   record.spot = orphan.spot;
   record.since = context_.wall - orphan.age_s;
-  // The sharing of unused machines moves it on if need be.
-  record.shard = shares.next_shard(orphan.type);
+  // If this shard does not need the machine, MachineReassignment::reassign_unused moves it later.
+  record.shard = shard_selector.select_shard(orphan.type);
   context_.info("machine_adopted machine=" + orphan.id + " shard=" + std::to_string(record.shard));
   unrecorded_.record(record);
 }
--- a/src/coordination/fleet/cloud_inventory.h
+++ b/src/coordination/fleet/cloud_inventory.h
@@ -1,7 +1,7 @@
-// What the cloud says that exists: lists its machines page by page, adopts orphans (machines that
-// nobody has a record of) and marks failed machines for deletion. Owns the set of machines that
-// were listed as running in this leadership. Run by the cluster leader, which plans only after one
-// whole listing: before it, machines that exist might be provisioned a second time.
+// Compares the machines that the cloud lists with the machine records: lists them page by page,
+// adopts orphans (machines without a record) and marks failed machines for deletion. Owns the set
+// of machines that the cloud has listed as running in this leadership. Run by the cluster leader,
+// which plans only after one whole listing: an earlier plan might provision existing machines anew.
 #pragma once
 #include <set>
 #include <string>
@@ -29,18 +29,18 @@
         provisioner_(provisioner),
         cloud_budget_(cloud_budget) {}
 
-  /// At the start of a leadership: nothing was listed yet.
+  /// Forgets all listings. Called at the start of a leadership.
   void reset();
-  /// Begins a listing if one is due and the cloud's budget allows.
+  /// Begins a listing if one is due and the budget of cloud calls allows it.
   void tick();
-  /// Steady time of the next listing; none while one is under way.
+  /// Steady time of the next listing, in seconds; kNoDueTime while a page is being fetched.
   double next_due() const {
     if (list_in_flight_) return kNoDueTime;
     return next_list_;
   }
-  /// All machines were listed at least once in this leadership.
+  /// Returns whether all machines were listed at least once in this leadership.
   bool listed_once() const { return listed_once_; }
-  /// Machines listed as running in this leadership.
+  /// Machines that the cloud has listed as running in this leadership.
   const std::set<std::string>& running() const { return running_; }
   void on_machine_deleted(const std::string& machine) { running_.erase(machine); }
 
@@ -48,7 +48,7 @@
   void list_page(const std::string& after);
   void on_page_listed(const CallDone& done);
   void compare_with_records(const std::vector<CloudMachine>& machines);
-  void adopt(const CloudMachine& orphan, AdoptionShares& shares);
+  void adopt(const CloudMachine& orphan, OrphanShardSelector& shard_selector);
   void mark_failed_for_deletion(const std::string& machine);
 
   Context& context_;
--- a/src/coordination/fleet/cluster_leader.cpp
+++ b/src/coordination/fleet/cluster_leader.cpp
@@ -22,8 +22,8 @@
       arrival_forecast_(arrival_forecast),
       machine_records_(state_cache, state_store, membership),
       unrecorded_(state_cache, state_store, membership),
-      record_format_(context, state_cache, state_store, membership),
-      types_(context, state_cache, state_store, membership, cloud_budget_),
+      record_format_marker_(context, state_cache, state_store, membership),
+      type_catalogue_(context, state_cache, state_store, membership, cloud_budget_),
       provisioner_(context, state_cache, membership, unrecorded_, cloud_budget_),
       inventory_(context, state_cache, membership, machine_records_, unrecorded_, provisioner_,
                  cloud_budget_),
@@ -34,10 +34,10 @@
       consolidation_(context, state_cache, membership, images, arrival_forecast, reassignment_) {}
 
 void ClusterLeader::on_leadership_gained() {
-  led_since_ = context_.now;
+  leader_since_ = context_.now;
   next_plan_ = 0;
-  next_share_ = context_.now + context_.operators.share_period_s;
-  types_.reset();
+  next_reassignment_ = context_.now + context_.operators.share_period_s;
+  type_catalogue_.reset();
   unrecorded_.reset();
   provisioner_.reset();
   inventory_.reset();
@@ -60,8 +60,8 @@
   }
   if (!leading_ || state_store_.disconnected()) return;
   cloud_budget_.set_rate(context_.settings.cloud_rps * Tunables::kBudget);
-  record_format_.tick();
-  types_.tick();
+  record_format_marker_.tick();
+  type_catalogue_.tick();
   if (state_cache_.types().empty()) return;
   deletion_.tick();
   provisioner_.tick();
@@ -75,7 +75,7 @@
 
 double ClusterLeader::next_due() const {
   if (!leading_ || state_store_.disconnected()) return kNoDueTime;
-  double due = types_.next_due();
+  double due = type_catalogue_.next_due();
   if (state_cache_.types().empty()) return due;
   due = std::min({due, deletion_.next_due(), inventory_.next_due(), provisioner_.next_due()});
   if (inventory_.listed_once()) due = std::min(due, next_plan_);
@@ -84,33 +84,33 @@
 
 CloudOutlook ClusterLeader::outlook() const {
   CloudOutlook outlook;
-  outlook.prices = types_.prices();
+  outlook.prices = type_catalogue_.prices();
   for (const auto& [id, machine] : unrecorded_.records()) outlook.unrecorded.push_back(machine);
   outlook.running = &inventory_.running();
-  provisioner_.describe(outlook);
+  provisioner_.add_to(outlook);
   return outlook;
 }
 
 void ClusterLeader::plan() {
   const CloudOutlook known = outlook();
   CapacityPlanner planner(context_, state_cache_, membership_, arrival_forecast_, known);
-  const bool share_now = context_.now >= next_share_;
-  if (share_now && context_.logs(LogLine::Level::info)) planner.enable_logging();
+  const bool reassign_now = context_.now >= next_reassignment_;
+  if (reassign_now && context_.logs(LogLine::Level::info)) planner.enable_logging();
   CapacityPlan plan;
   for (int shard = 0; shard < membership_.shards(); ++shard) planner.plan_shard(shard, plan);
   const CapacityPlan planned = plan;
   plan.shortages.insert(plan.shortages.end(), plan.best_effort_shortages.begin(),
                         plan.best_effort_shortages.end());
-  if (share_now) {
-    next_share_ = context_.now + context_.operators.share_period_s;
+  if (reassign_now) {
+    next_reassignment_ = context_.now + context_.operators.share_period_s;
     reassignment_.reassign_unused(plan);
   }
   reclaim_.reclaim(plan.unmet);
   provisioner_.provision(plan.shortages, plan.unused);
-  // Now the outlook has what was asked for just now.
-  if (context_.operators.consolidate && consolidation_.due() && led_for_a_lease())
+  // The outlook is taken anew, since it now includes the machines that were just requested.
+  if (context_.operators.consolidate && consolidation_.due() && led_for_one_lease())
     consolidation_.run(planned, [this] { return outlook(); });
-  reassignment_.scale_in_idle(plan, led_since_);
+  reassignment_.scale_in_idle(plan, leader_since_);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/cluster_leader.h
+++ b/src/coordination/fleet/cluster_leader.h
@@ -1,8 +1,8 @@
-// The cluster leader's tick: notices when leadership begins, and runs the modules of fleet
-// management in a fixed order while it lasts. Owns the budget of calls to the cloud, which these
-// modules share, and the times of the next plan and of the next sharing of machines between shards.
-// Invariant: nothing is done while this controller does not lead or is disconnected from the state
-// store. Called by the core.
+// The cluster leader's tick: detects the start of a leadership and runs the modules of fleet
+// management in a fixed order while it lasts. Owns the budget of cloud calls, which these modules
+// share, and the times of the next plan and of the next reassignment of unused machines to other
+// shards. Invariant: nothing is done while this controller does not lead or is disconnected from
+// the state store. Called by the core.
 #pragma once
 #include "coordination/fleet/cloud_inventory.h"
 #include "coordination/fleet/consolidation_rounds.h"
@@ -23,13 +23,13 @@
   ClusterLeader(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
                 Membership& membership, const ImageCaches& images,
                 const ArrivalForecast& arrival_forecast);
-  // Its modules refer to each other.
+  // Not copyable: the modules hold references to each other.
   ClusterLeader(const ClusterLeader&) = delete;
   ClusterLeader& operator=(const ClusterLeader&) = delete;
 
   void tick();
-  /// When `tick` has something to do by the clock alone; a time that has passed: as soon as the
-  /// cloud's budget allows.
+  /// Steady time, in seconds, at which `tick` next has work that only the clock triggers. A time in
+  /// the past means: as soon as the budget of cloud calls allows it.
   double next_due() const;
 
  private:
@@ -37,7 +37,9 @@
   void on_machine_deleted(const std::string& machine);
   void plan();
   CloudOutlook outlook() const;
-  bool led_for_a_lease() const { return context_.now - led_since_ > context_.settings.lease_s; }
+  bool led_for_one_lease() const {
+    return context_.now - leader_since_ > context_.settings.lease_s;
+  }
 
   Context& context_;
   const store::StateCache& state_cache_;
@@ -47,8 +49,8 @@
   TokenBucket cloud_budget_;
   FleetRecordWriter machine_records_;
   UnrecordedMachines unrecorded_;
-  RecordFormatMarker record_format_;
-  TypeCatalogue types_;
+  RecordFormatMarker record_format_marker_;
+  TypeCatalogue type_catalogue_;
   Provisioner provisioner_;
   CloudInventory inventory_;
   MachineDeletion deletion_;
@@ -56,9 +58,9 @@
   FairShareReclaim reclaim_;
   ConsolidationRounds consolidation_;
   bool leading_ = false;
-  double led_since_ = 0;
+  double leader_since_ = 0;
   double next_plan_ = 0;
-  double next_share_ = 0;
+  double next_reassignment_ = 0;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/machine_deletion.cpp
+++ b/src/coordination/fleet/machine_deletion.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr size_t kMostMachines = 100;  // names in one request, by the protocol
+constexpr size_t kMaxMachinesPerRequest = 100;  // limit of the cloud's protocol
 
 }  // namespace
 
@@ -25,7 +25,7 @@
 std::vector<std::string> MachineDeletion::machines_to_delete() const {
   std::vector<std::string> machines;
   for (const auto& [id, machine] : state_cache_.terminating_machines()) {
-    if (machines.size() == kMostMachines) break;
+    if (machines.size() == kMaxMachinesPerRequest) break;
     if (!confirmed_.count(id)) machines.push_back(id);
   }
   return machines;
@@ -57,7 +57,8 @@
 }
 
 void MachineDeletion::record_deleted(const std::string& machine) {
-  // Work may wait for what ran on a machine that was marked for deletion; a released one was empty.
+  // A machine that was marked for deletion may have had tasks, and work may wait for their end, so
+  // its write is more urgent than that of a released machine, which was empty.
   const auto* known = state_cache_.machine(machine);
   const bool empty = known && known->record.phase == MachinePhase::released;
   records_.update(
--- a/src/coordination/fleet/machine_deletion.h
+++ b/src/coordination/fleet/machine_deletion.h
@@ -1,6 +1,6 @@
-// Deletes terminating machines at the cloud and records each as deleted. Invariant: a machine is
-// asked for until the cloud has confirmed its deletion, and again if the record could not be
-// written. Run by the cluster leader.
+// Deletes terminating machines at the cloud and records each as deleted. Invariant: the deletion of
+// a machine is requested until the cloud confirms it, and again if the record could not be written.
+// Run by the cluster leader.
 #pragma once
 #include <functional>
 #include <set>
@@ -15,7 +15,7 @@
 class MachineDeletion {
  public:
   /// The arguments must outlive this object. `on_deleted` is called with a machine's id when the
-  /// cloud has confirmed its deletion, before its record changes.
+  /// cloud has confirmed the machine's deletion, before its record changes.
   MachineDeletion(Context& context, const store::StateCache& state_cache,
                   FleetRecordWriter& records, TokenBucket& cloud_budget,
                   std::function<void(const std::string& machine)> on_deleted)
@@ -25,11 +25,12 @@
         cloud_budget_(cloud_budget),
         on_deleted_(std::move(on_deleted)) {}
 
-  /// At the start of a leadership: no deletion is confirmed.
+  /// Forgets all requests and confirmed deletions. Called at the start of a leadership.
   void reset();
-  /// Sends a deletion request if one is due and the cloud's budget allows.
+  /// Sends a deletion request if one is due and the budget of cloud calls allows it.
   void tick();
-  /// Steady time at which terminating machines are looked for; none while a request is under way.
+  /// Steady time, in seconds, of the next search for terminating machines; kNoDueTime while a
+  /// request is in flight.
   double next_due() const {
     if (request_in_flight_) return kNoDueTime;
     return next_request_;
@@ -48,7 +49,7 @@
   std::function<void(const std::string& machine)> on_deleted_;
   double next_request_ = 0;
   bool request_in_flight_ = false;
-  std::set<std::string> confirmed_;  // by the cloud
+  std::set<std::string> confirmed_;  // machines whose deletion the cloud has confirmed
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/machine_reassignment.cpp
+++ b/src/coordination/fleet/machine_reassignment.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-// What the cloud charges at least for a machine, by the protocol.
-constexpr double kLeastChargeSeconds = 60;
-constexpr int kReleased = -1;  // as the next shard of a record
+// The cloud's protocol: each machine is charged for at least this many seconds.
+constexpr double kMinChargeSeconds = 60;
+// Value of MachineRecord::next_shard that requests a release.
+constexpr int kNextShardForRelease = -1;
 
 }  // namespace
 
@@ -32,11 +33,12 @@
 }
 
 void MachineReassignment::request_release(const std::string& machine, WorkOnMachine work) {
-  request_reassignment(machine, kReleased, work);
+  request_reassignment(machine, kNextShardForRelease, work);
 }
 
-// The design's sharing: free machines go from shards that don't need them to shards that wait. In
-// proportion to waiting demand: whoever waits for most is served first, one machine each in turn.
+// The design's sharing of free machines: they go from shards that don't need them to shards whose
+// work waits, in proportion to waiting demand. Shortages get one machine each in turn, the one with
+// the most waiting demand first.
 void MachineReassignment::reassign_unused(CapacityPlan& plan) {
   UnusedMachines unused(std::move(plan.unused), state_cache_);
   std::sort(plan.shortages.begin(), plan.shortages.end(),
@@ -60,21 +62,21 @@
 
 bool MachineReassignment::idle_long_enough(const MachineRecord& machine, double idle_since) const {
   const auto* type = state_cache_.type(machine.type);
-  const double hold_s = type ? type->boot_s / 2 : kLeastChargeSeconds;
-  return context_.now - idle_since > hold_s && context_.wall - machine.since > kLeastChargeSeconds;
+  const double min_idle_s = type ? type->boot_s / 2 : kMinChargeSeconds;
+  return context_.now - idle_since > min_idle_s &&
+         context_.wall - machine.since > kMinChargeSeconds;
 }
 
-// What nobody has needed for a while is given back.
-void MachineReassignment::scale_in_idle(const CapacityPlan& plan, double led_since) {
+void MachineReassignment::scale_in_idle(const CapacityPlan& plan, double leader_since) {
   std::map<std::string, double> idle_since;
-  std::set<MachineKind> lacking;
-  for (const auto& shortage : plan.shortages) lacking.insert(shortage.kind);
+  std::set<MachineKind> kinds_in_shortage;
+  for (const auto& shortage : plan.shortages) kinds_in_shortage.insert(shortage.kind);
   for (const auto& id : plan.unused) {
     const auto before = idle_since_.find(id);
     idle_since[id] = before == idle_since_.end() ? context_.now : before->second;
     const auto& machine = state_cache_.machine(id)->record;
-    if (!lacking.count(kind_of(machine)) && idle_long_enough(machine, idle_since[id]) &&
-        context_.now - led_since > context_.settings.lease_s) {
+    if (!kinds_in_shortage.count(kind_of(machine)) && idle_long_enough(machine, idle_since[id]) &&
+        context_.now - leader_since > context_.settings.lease_s) {
       context_.info("machine_release_requested machine=" + id + " reason=idle");
       request_release(id, WorkOnMachine::keeps_machine);
     }
--- a/src/coordination/fleet/machine_reassignment.h
+++ b/src/coordination/fleet/machine_reassignment.h
@@ -1,6 +1,6 @@
-// Moves machines between shards and gives back what nothing needs (scale in): asks the shard that
-// holds a machine to let it go. The leader of that shard answers; nothing is taken from it. Run by
-// the cluster leader with each plan.
+// Moves machines between shards and releases machines that no shard needs (scale in). Both are
+// requests to the leader of the machine's shard, which grants or refuses them; no machine is taken
+// without its answer. Run by the cluster leader with each plan.
 #pragma once
 #include <map>
 #include <string>
@@ -10,12 +10,12 @@
 
 namespace rushtrestle::coordination {
 
-/// What becomes of the work on a machine that its shard leader is asked to let go.
+/// Whether tasks are stopped on a machine whose reassignment or release is requested.
 enum class WorkOnMachine {
-  /// The machine goes only if it is empty when the shard leader answers.
+  /// No task is stopped: the request is granted only if the machine is empty.
   keeps_machine,
-  /// What may be stopped is stopped and queued again. A machine that goes to another shard stays if
-  /// it holds work that may not be preempted; for a release, only work that can move is stopped.
+  /// Tasks are stopped and requeued. A reassignment is refused while the machine runs a task that
+  /// may not be preempted; for a release, only tasks that lose no work by it are stopped.
   is_drained
 };
 
@@ -26,17 +26,19 @@
                       FleetRecordWriter& records)
       : context_(context), state_cache_(state_cache), records_(records) {}
 
-  /// At the start of a leadership: nothing is known to be idle.
+  /// Forgets how long machines have been idle. Called at the start of a leadership.
   void reset() { idle_since_.clear(); }
-  /// Asks for the machine to go to another shard.
+  /// Asks the leader of the machine's shard to hand the machine over to `next_shard`.
   void request_reassignment(const std::string& machine, int next_shard, WorkOnMachine work);
-  /// Asks for the machine to be released, so that it can be deleted.
+  /// Asks the leader of the machine's shard to release the machine, so that it can be deleted.
   void request_release(const std::string& machine, WorkOnMachine work);
-  /// Gives unused machines to shards that lack such ones; the plan is reduced by them.
+  /// Requests the reassignment of unused machines to shards that lack machines of their kind, and
+  /// removes these machines and shortages from the plan.
   void reassign_unused(CapacityPlan& plan);
-  /// Releases what has been unused for a while, unless its kind is lacking somewhere. Nothing is
-  /// released in the first lease of a leadership, which began at the steady time `led_since`.
-  void scale_in_idle(const CapacityPlan& plan, double led_since);
+  /// Requests the release of machines that have been unused long enough, unless a shard lacks
+  /// machines of that kind. Releases nothing for the duration of one lease after `leader_since`,
+  /// the steady time in seconds at which the leadership began.
+  void scale_in_idle(const CapacityPlan& plan, double leader_since);
 
  private:
   bool idle_long_enough(const store::MachineRecord& machine, double idle_since) const;
@@ -44,8 +46,8 @@
   Context& context_;
   const store::StateCache& state_cache_;
   FleetRecordWriter& records_;
-  std::map<std::string, double>
-      idle_since_;  // steady time, by machine that the last plan left unused
+  // Steady time in seconds since which each machine left unused by the last plan has been unused.
+  std::map<std::string, double> idle_since_;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/orphan_adoption.cpp
+++ b/src/coordination/fleet/orphan_adoption.cpp
@@ -5,12 +5,12 @@
 namespace rushtrestle::coordination {
 
 namespace {
-// A machine weighs more than any difference of guarantees, so that each shard with teams gets its
-// turn.
+// Load of one machine, in CPUs of guarantee. It exceeds any difference between the guarantees of
+// two shards, so that every shard with teams gets machines in turn.
 constexpr double kMachineWeight = 1e6 / 64;
 }  // namespace
 
-AdoptionShares::Load AdoptionShares::count(const std::string& type) const {
+OrphanShardSelector::Load OrphanShardSelector::count_load(const std::string& type) const {
   Load load;
   for (const auto& team : context_.settings.teams)
     load[membership_.shard_of_team(team.name)] -= team.guarantee.cpus;
@@ -24,9 +24,9 @@
   return load;
 }
 
-int AdoptionShares::next_shard(const std::string& type) {
+int OrphanShardSelector::select_shard(const std::string& type) {
   auto known = loads_.find(type);
-  if (known == loads_.end()) known = loads_.emplace(type, count(type)).first;
+  if (known == loads_.end()) known = loads_.emplace(type, count_load(type)).first;
   Load& load = known->second;
   const auto lowest = std::min_element(
       load.begin(), load.end(), [](const auto& a, const auto& b) { return a.second < b.second; });
--- a/src/coordination/fleet/orphan_adoption.h
+++ b/src/coordination/fleet/orphan_adoption.h
@@ -1,5 +1,5 @@
-// Divides orphans, machines that the cloud lists and nobody has a record of, among the shards. Used
-// by the cloud inventory, one object for each page that the cloud lists.
+// Chooses a shard for each orphan (a machine that the cloud lists and that has no record). Used by
+// the cloud inventory, with a new object for each page of the cloud's list.
 #pragma once
 #include <map>
 #include <string>
@@ -9,32 +9,33 @@
 
 namespace rushtrestle::coordination {
 
-/// Chooses the shard that gets a machine which the cloud lists and the state cache does not have:
-/// the one with the most work, by its teams' guarantees, for the machines of that type which it
-/// has. The counts are taken once and kept up to date: taken for each machine, a fleet that was
-/// adopted whole took the square of its size.
-class AdoptionShares {
+/// Balances orphans over the shards that have teams: an orphan goes to the shard with the fewest
+/// machines of its type, and among equals to the one whose teams have the largest CPU guarantees.
+/// Machines are counted once per type and each choice is added to the count: counting for each
+/// orphan took time quadratic in the fleet's size when a whole fleet was adopted.
+class OrphanShardSelector {
  public:
   /// The arguments must outlive this object.
-  AdoptionShares(const Context& context, const store::StateCache& state_cache,
-                 const Membership& membership, const UnrecordedMachines& unrecorded)
+  OrphanShardSelector(const Context& context, const store::StateCache& state_cache,
+                      const Membership& membership, const UnrecordedMachines& unrecorded)
       : context_(context),
         state_cache_(state_cache),
         membership_(membership),
         unrecorded_(unrecorded) {}
 
-  /// The shard of the next machine of this type, which counts as given to it.
-  int next_shard(const std::string& type);
+  /// Returns the shard for the next orphan of this type and counts the orphan as a machine of it.
+  int select_shard(const std::string& type);
 
  private:
-  using Load = std::map<int, double>;  // by shard that has teams; the lowest gets the next machine
-  Load count(const std::string& type) const;
+  // By shard that has teams. The shard with the lowest load gets the next orphan.
+  using Load = std::map<int, double>;
+  Load count_load(const std::string& type) const;
 
   const Context& context_;
   const store::StateCache& state_cache_;
   const Membership& membership_;
   const UnrecordedMachines& unrecorded_;
-  std::map<std::string, Load> loads_;  // by type
+  std::map<std::string, Load> loads_;  // by machine type
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/provisioner.cpp
+++ b/src/coordination/fleet/provisioner.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr size_t kMostMachines = 50;  // of one request, by the protocol
+constexpr size_t kMaxMachinesPerRequest = 50;  // limit of the cloud's protocol
 constexpr int kTooManyRequests = 429;
 constexpr int kNoAnswer = 0;
 
@@ -25,14 +25,15 @@
 
 void Provisioner::tick() {
   for (auto& request : requests_)
-    if (!request.in_flight && context_.now >= request.next_try && cloud_budget_.ready(context_.now))
+    if (!request.in_flight && context_.now >= request.next_attempt &&
+        cloud_budget_.ready(context_.now))
       send(request);
 }
 
 double Provisioner::next_due() const {
   double due = kNoDueTime;
   for (const auto& request : requests_)
-    if (!request.in_flight) due = std::min(due, request.next_try);
+    if (!request.in_flight) due = std::min(due, request.next_attempt);
   return due;
 }
 
@@ -46,16 +47,16 @@
                      [&](const Request& request) { return request.kind == kind; });
 }
 
-void Provisioner::describe(CloudOutlook& outlook) const {
+void Provisioner::add_to(CloudOutlook& outlook) const {
   for (const auto& [kind, unavailability] : unavailable_kinds_)
     if (context_.now < unavailability.until) outlook.unavailable.insert(kind);
   for (const auto& request : requests_)
     for (const int shard : request.shards) outlook.requested[shard].push_back(request.kind);
 }
 
-// One machine each in turn.
-Provisioner::Order Provisioner::divide_in_turns(const MachineKind& kind,
-                                                const std::vector<MachineShortage*>& shortages) {
+// Serves the shortages in turn, one machine each.
+Provisioner::Order Provisioner::divide_round_robin(const MachineKind& kind,
+                                                   const std::vector<MachineShortage*>& shortages) {
   Order order{kind, store::Rank::low, {}, {}};
   for (bool more = true; more;) {
     more = false;
@@ -76,16 +77,17 @@
 
 std::vector<Provisioner::Order> Provisioner::orders_for(std::vector<MachineShortage> shortages,
                                                         std::vector<std::string> unused) const {
-  UnusedMachines shared(std::move(unused), state_cache_);
+  UnusedMachines reassignable(std::move(unused), state_cache_);
   std::map<MachineKind, std::vector<MachineShortage*>> by_kind;
   for (auto& shortage : shortages) {
-    // Machines that another shard does not need are shared, not provisioned anew; each counts once.
-    while (shortage.machines() > 0 && shared.take(shortage.kind, shortage.shard)) shortage.reduce();
+    // An unused machine of another shard covers one missing machine: it is reassigned instead.
+    while (shortage.machines() > 0 && reassignable.take(shortage.kind, shortage.shard))
+      shortage.reduce();
     if (shortage.machines() > 0) by_kind[shortage.kind].push_back(&shortage);
   }
   std::vector<Order> orders;
   for (const auto& [kind, of_kind] : by_kind)
-    if (!has_request(kind)) orders.push_back(divide_in_turns(kind, of_kind));
+    if (!has_request(kind)) orders.push_back(divide_round_robin(kind, of_kind));
   std::stable_sort(orders.begin(), orders.end(), [](const Order& a, const Order& b) {
     if (a.urgent.empty() != b.urgent.empty()) return b.urgent.empty();
     if (a.rank != b.rank) return a.rank > b.rank;
@@ -94,19 +96,20 @@
   return orders;
 }
 
-// The cloud takes few calls. Queued by shard and machine, requests waited for minutes behind others
-// for kinds that the cloud had refused long since, and what was queued counted as capacity on its
-// way. So nothing is queued: each plan asks anew, once a kind of machine for all shards together,
-// and what the budget does not let out now is part of the next plan.
+// The cloud accepts few calls, so unsent requests are not queued: each plan asks anew, by kind of
+// machine for all shards together, and what the budget of calls does not cover now is left to the
+// next plan. In a queue by shard and machine, requests waited for minutes behind others for kinds
+// that the cloud had long refused, and queued machines counted as capacity on its way.
 void Provisioner::provision(std::vector<MachineShortage> shortages,
                             std::vector<std::string> unused) {
   place_orders(orders_for(std::move(shortages), std::move(unused)));
 }
 
-// One request a plan and kind, of fifty machines, kept the budget of calls idle while thousands
-// were lacking. Each kind has its first before another has its second.
+// Sends requests as long as the budget of calls allows, the first of each kind before the second of
+// any. Only one request of fifty machines per plan and kind left the budget idle while thousands of
+// machines were lacking.
 void Provisioner::place_orders(const std::vector<Order>& orders) {
-  for (size_t from = 0, longest = 1; from < longest; from += kMostMachines)
+  for (size_t from = 0, longest = 1; from < longest; from += kMaxMachinesPerRequest)
     for (const auto& order : orders) {
       std::vector<int> shards = order.urgent;
       shards.insert(shards.end(), order.expected.begin(), order.expected.end());
@@ -114,8 +117,8 @@
       if (from >= shards.size()) continue;
       if (!cloud_budget_.ready(context_.now)) return;
       const auto first = shards.begin() + static_cast<long>(from);
-      const auto last =
-          shards.begin() + static_cast<long>(std::min(shards.size(), from + kMostMachines));
+      const auto last = shards.begin() +
+                        static_cast<long>(std::min(shards.size(), from + kMaxMachinesPerRequest));
       requests_.push_back(
           {order.kind, std::vector<int>(first, last),
            std::to_string(membership_.leader_revision()) + "-" + std::to_string(++requests_made_),
@@ -127,17 +130,17 @@
 void Provisioner::send(Request& request) {
   request.in_flight = true;
   cloud_budget_.take(1);
-  context_.call(ProvisionMachines{request.name, request.kind.type, request.kind.zone,
+  context_.call(ProvisionMachines{request.idempotency_key, request.kind.type, request.kind.zone,
                                   request.kind.spot, static_cast<int>(request.shards.size())},
                 context_.settings.lease_s / 3,
-                [this, name = request.name](CallDone&& done) { on_answer(done, name); });
+                [this, key = request.idempotency_key](CallDone&& done) { on_answer(done, key); });
 }
 
-void Provisioner::on_answer(const CallDone& done, const std::string& request_name) {
-  const auto request =
-      std::find_if(requests_.begin(), requests_.end(),
-                   [&](const Request& candidate) { return candidate.name == request_name; });
-  // Another controller has led since: its listing brings the machines.
+void Provisioner::on_answer(const CallDone& done, const std::string& idempotency_key) {
+  const auto request = std::find_if(
+      requests_.begin(), requests_.end(),
+      [&](const Request& candidate) { return candidate.idempotency_key == idempotency_key; });
+  // The request is of an earlier leadership: the machines that it created are found by listing.
   if (request == requests_.end()) return;
   request->in_flight = false;
   const auto* reply = std::get_if<ProvisionReply>(&done.reply);
@@ -145,8 +148,9 @@
     on_provisioned(*request, reply->machines);
     requests_.erase(request);
   } else if (done.status == kNoAnswer || done.status == kTooManyRequests) {
-    // Repeated as the same request: it is carried out at most once.
-    request->next_try = context_.now + context_.jitter(context_.settings.heartbeat_interval_s / 2);
+    // Resent with the same idempotency key, so that the cloud carries it out at most once.
+    request->next_attempt =
+        context_.now + context_.jitter(context_.settings.heartbeat_interval_s / 2);
   } else {
     on_kind_unavailable(request->kind);
     requests_.erase(request);
@@ -174,13 +178,14 @@
   }
 }
 
-// What is free at the cloud changes seldom but by our own deletions: asked for ever more rarely, so
-// that refusals don't eat the budget of calls.
+// The cloud's free capacity seldom changes except by this cluster's own deletions, so the pause
+// before the next request of the kind doubles with each refusal: refused requests would otherwise
+// use up the budget of calls.
 void Provisioner::on_kind_unavailable(const MachineKind& kind) {
   auto& unavailability = unavailable_kinds_[kind];
-  unavailability.pause_s = std::clamp(unavailability.pause_s * 2, context_.settings.lease_s / 2,
-                                      context_.settings.lease_s * 4);
-  unavailability.until = context_.now + context_.jitter(unavailability.pause_s);
+  unavailability.backoff_s = std::clamp(unavailability.backoff_s * 2, context_.settings.lease_s / 2,
+                                        context_.settings.lease_s * 4);
+  unavailability.until = context_.now + context_.jitter(unavailability.backoff_s);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/provisioner.h
+++ b/src/coordination/fleet/provisioner.h
@@ -1,7 +1,8 @@
-// Provisions machines at the cloud (scale out): turns the shortages of a plan into requests, sends
-// each until it is answered, and remembers which kinds of machines are not to be had. Invariants: a
-// request is repeated under its own name, so that the cloud carries it out at most once; while a
-// kind has an unanswered request, no other plan asks for it. Run by the cluster leader.
+// Provisions machines at the cloud (scale out): turns the shortages of a plan into requests,
+// resends each until it is answered, and remembers which kinds of machines are unavailable.
+// Invariants: a request is resent with the same idempotency key, so that the cloud carries it out
+// at most once; while a kind has an unanswered request, no later plan requests it. Run by the
+// cluster leader.
 #pragma once
 #include <map>
 #include <string>
@@ -23,50 +24,53 @@
         unrecorded_(unrecorded),
         cloud_budget_(cloud_budget) {}
 
-  /// At the start of a leadership: requests of an earlier one are another leader's, whose listing
-  /// brings their machines; nothing is known to be unavailable.
+  /// Forgets all requests and unavailable kinds. Called at the start of a leadership: another
+  /// controller may have led since the requests, and machines that they created are found by
+  /// listing the cloud's machines.
   void reset();
-  /// Repeats the requests that got no answer, as far as the cloud's budget allows.
+  /// Resends the unanswered requests that are due, as far as the budget of cloud calls allows.
   void tick();
-  /// Steady time of the next repetition.
+  /// Steady time, in seconds, at which the next unanswered request is resent.
   double next_due() const;
-  /// Asks for what the shards lack and no unused machine of another shard provides.
+  /// Requests the machines that shards lack, except those that unused machines of other shards can
+  /// provide.
   void provision(std::vector<MachineShortage> shortages, std::vector<std::string> unused);
-  /// An answer that names machines may be under way.
+  /// Returns whether a request is in flight, whose reply may name new machines.
   bool request_in_flight() const;
-  /// Adds what is requested and what is not to be had.
-  void describe(CloudOutlook& outlook) const;
-  /// What we gave back can be had again.
+  /// Adds the requested machines and the unavailable kinds to `outlook`.
+  void add_to(CloudOutlook& outlook) const;
+  /// Marks the kind as available again: the cloud can provide the deleted machine anew.
   void on_machine_deleted(const MachineKind& kind) { unavailable_kinds_.erase(kind); }
 
  private:
   struct Request {
     MachineKind kind;
-    std::vector<int> shards;  // one entry a machine: where it goes, the most urgent first
-    std::string name;
-    double next_try = 0;
+    std::vector<int> shards;  // one entry per machine: the shard that gets it, most urgent first
+    std::string idempotency_key;
+    double next_attempt = 0;  // steady time, in seconds
     bool in_flight = false;
   };
-  /// All machines of a kind that a plan asks for, one entry a machine: where it goes.
+  /// All machines of a kind that a plan asks for. The vectors have one entry per machine: the shard
+  /// that gets it.
   struct Order {
     MachineKind kind;
-    store::Rank rank = store::Rank::low;  // of the most important work that waits for them
-    std::vector<int> urgent;
-    std::vector<int> expected;
+    store::Rank rank = store::Rank::low;  // the highest among work that waits for these machines
+    std::vector<int> urgent;              // for work that waits
+    std::vector<int> expected;            // for work that is expected
   };
   struct Unavailability {
-    double until = 0;
-    double pause_s = 0;
+    double until = 0;  // steady time, in seconds
+    double backoff_s = 0;
   };
 
-  static Order divide_in_turns(const MachineKind& kind,
-                               const std::vector<MachineShortage*>& shortages);
+  static Order divide_round_robin(const MachineKind& kind,
+                                  const std::vector<MachineShortage*>& shortages);
   bool has_request(const MachineKind& kind) const;
   std::vector<Order> orders_for(std::vector<MachineShortage> shortages,
                                 std::vector<std::string> unused) const;
   void place_orders(const std::vector<Order>& orders);
   void send(Request& request);
-  void on_answer(const CallDone& done, const std::string& request_name);
+  void on_answer(const CallDone& done, const std::string& idempotency_key);
   void on_provisioned(const Request& request, const std::vector<std::string>& machines);
   void on_kind_unavailable(const MachineKind& kind);
 
--- a/src/coordination/fleet/record_format_marker.cpp
+++ b/src/coordination/fleet/record_format_marker.cpp
@@ -5,13 +5,13 @@
 
 namespace rushtrestle::coordination {
 
-bool RecordFormatMarker::ready_to_open() const {
+bool RecordFormatMarker::ready_to_enable() const {
   return state_cache_.record_format() < store::kRecordFormat &&
          membership_.all_read(store::kRecordFormat);
 }
 
 void RecordFormatMarker::tick() {
-  if (write_in_flight_ || !ready_to_open()) return;
+  if (write_in_flight_ || !ready_to_enable()) return;
   write_in_flight_ = true;
   WriteRequest write;
   write.key = store::format_key;
@@ -19,7 +19,7 @@
     prepared.expected = state_cache_.mod_revision_of(store::format_key);
     prepared.value = store::Json{{"reads", store::kRecordFormat}};
     prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
-    return membership_.leading() && ready_to_open();
+    return membership_.leading() && ready_to_enable();
   };
   write.done = [this](WriteOutcome outcome, uint64_t) {
     write_in_flight_ = false;
--- a/src/coordination/fleet/record_format_marker.h
+++ b/src/coordination/fleet/record_format_marker.h
@@ -1,6 +1,7 @@
-// Opens a record format once every controller reads it: from then on no older controller serves.
-// Invariant: the mark is written by the cluster leader alone and is never taken back. Called in
-// each tick of the cluster leader.
+// Enables the newest record format once every controller reads it, by writing its number to the
+// state store; from then on, no controller that does not read this format may serve. Invariant:
+// only the cluster leader writes this number, and it never decreases. Called in each tick of the
+// cluster leader.
 #pragma once
 #include "coordination/membership/membership.h"
 
@@ -16,11 +17,11 @@
         state_store_(state_store),
         membership_(membership) {}
 
-  /// Writes the mark if it is missing and every controller reads the newest record format.
+  /// Enables the newest record format if it is not enabled yet and every controller reads it.
   void tick();
 
  private:
-  bool ready_to_open() const;
+  bool ready_to_enable() const;
 
   Context& context_;
   const store::StateCache& state_cache_;
--- a/src/coordination/fleet/type_catalogue.cpp
+++ b/src/coordination/fleet/type_catalogue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-store::Json shapes_of(std::vector<store::MachineType> types) {
-  for (auto& type : types) type.price = type.spot_price = 0;  // prices move, shapes don't
+store::Json to_json_without_prices(std::vector<store::MachineType> types) {
+  for (auto& type : types) type.price = type.spot_price = 0;
   return to_json(types);
 }
 
@@ -40,7 +40,8 @@
   }
   next_fetch_ = context_.now + context_.settings.lease_s * 4;
   prices_ = reply->types;
-  if (shapes_of(prices_) != shapes_of(state_cache_.types())) record_types();
+  if (to_json_without_prices(prices_) != to_json_without_prices(state_cache_.types()))
+    record_types();
 }
 
 void TypeCatalogue::record_types() {
--- a/src/coordination/fleet/type_catalogue.h
+++ b/src/coordination/fleet/type_catalogue.h
@@ -1,6 +1,6 @@
-// The machine types that the cloud offers: fetches them with their prices and records their shapes
-// for all controllers. Prices move, shapes do not: only a change of shape is written. Run by the
-// cluster leader; the capacity planner takes the prices.
+// Fetches the machine types that the cloud offers, with their prices, and records them for all
+// controllers. Prices move, shapes (all other properties) do not: the record is written only when a
+// shape has changed. Run by the cluster leader; the capacity planner takes the prices from here.
 #pragma once
 #include <vector>
 
@@ -20,16 +20,17 @@
         membership_(membership),
         cloud_budget_(cloud_budget) {}
 
-  /// At the start of a leadership: the types are fetched anew. The last prices are kept until then.
+  /// Makes a fetch due at once; the last prices are kept until it succeeds. Called at the start of
+  /// a leadership.
   void reset();
-  /// Fetches the types if that is due and the cloud's budget allows.
+  /// Fetches the types if a fetch is due and the budget of cloud calls allows it.
   void tick();
-  /// Steady time of the next fetch; none while one is under way.
+  /// Steady time of the next fetch, in seconds; kNoDueTime while one is in flight.
   double next_due() const {
     if (fetch_in_flight_) return kNoDueTime;
     return next_fetch_;
   }
-  /// As fetched last; empty: none were fetched yet.
+  /// Returns the machine types, with prices, of the last fetch; empty before the first one.
   const std::vector<store::MachineType>& prices() const { return prices_; }
 
  private:
--- a/src/coordination/fleet/unrecorded_machines.cpp
+++ b/src/coordination/fleet/unrecorded_machines.cpp
@@ -18,7 +18,8 @@
     prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
     return true;
   };
-  // If the write failed, the next listing of the cloud's machines brings the machine again.
+  // If the write failed, the next listing of the cloud's machines finds the machine without a
+  // record and adopts it.
   write.done = [this, id = machine.id](WriteOutcome, uint64_t) { records_.erase(id); };
   state_store_.write(std::move(write));
 }
--- a/src/coordination/fleet/unused_machines.h
+++ b/src/coordination/fleet/unused_machines.h
@@ -1,5 +1,5 @@
-// The machines that a plan has no use for, by kind and shard. Each is handed out once. Used for the
-// sharing of machines between shards and for provisioning, an object for each plan.
+// The machines that a plan leaves unused, by kind and shard. Each is handed out once. Used to
+// reassign machines between shards and to decide what to provision, with a new object each time.
 #pragma once
 #include <deque>
 #include <map>
@@ -12,24 +12,25 @@
 
 namespace rushtrestle::coordination {
 
-/// Hands out machines of a kind, the first of the plan first. Indexed: to look through all of them
-/// for each machine that another shard lacks took the square of the fleet.
+/// Hands out machines of a kind in the plan's order. Machines are indexed by kind and shard,
+/// because a scan of all of them for each machine that a shard lacks took time quadratic in the
+/// fleet's size.
 class UnusedMachines {
  public:
   /// Machines that the state cache does not have are left out.
   UnusedMachines(std::vector<std::string> machines, const store::StateCache& state_cache);
 
-  /// Takes one of this kind that is not of this shard.
+  /// Takes the first machine of this kind that belongs to a shard other than `other_than_shard`.
   std::optional<std::string> take(const MachineKind& kind, int other_than_shard);
-  /// What was not taken, in the plan's order.
+  /// Returns the machines that were not taken, in the plan's order.
   std::vector<std::string> remaining() const;
 
  private:
-  using Places = std::deque<size_t>;  // in `machines_`, ascending
+  using Indices = std::deque<size_t>;  // into `machines_`, ascending
 
   std::vector<std::string> machines_;
-  std::map<MachineKind, std::map<int, Places>> places_;  // by kind and shard
-  std::set<size_t> left_;                                // places that were not taken
+  std::map<MachineKind, std::map<int, Indices>> indices_;  // by kind and shard
+  std::set<size_t> remaining_;                             // indices that were not taken
 };
 
 }  // namespace rushtrestle::coordination
