--- a/src/coordination/shard/command_dispatcher.cpp
+++ b/src/coordination/shard/command_dispatcher.cpp
@@ -9,27 +9,28 @@
 using store::MachineRecord;
 
 namespace {
-// The statuses under which a worker answers a command with a heartbeat.
+// HTTP statuses with which a worker answers commands by a heartbeat.
 constexpr int kOk = 200;
-constexpr int kConflict = 409;  // it has seen a higher fencing token or has another agent epoch
+constexpr int kConflict = 409;  // it saw a higher fencing token or has another agent epoch
 }  // namespace
 
-// In turn by id, a bounded number in a batch: with little processor time the commands to all
-// machines of a shard that was just acquired took seconds, in which no renewal of the lease was
-// sent, and the shard was lost again.
+// Serves machines round-robin by id, a bounded number in each batch. With little processor time,
+// sending commands to all machines of a newly acquired shard in one batch took seconds, in which
+// the lease was not renewed, and the shard was lost again.
 void CommandDispatcher::dispatch_due_commands() {
-  constexpr size_t kMostInABatch = 16;
+  constexpr size_t kMaxMachinesPerBatch = 16;
   dispatch_queue_.advance(context_.now);
-  const std::vector<std::string> ids = dispatch_queue_.next_after(last_commanded_, kMostInABatch);
+  const std::vector<std::string> ids =
+      dispatch_queue_.next_after(last_dispatched_, kMaxMachinesPerBatch);
   for (const auto& id : ids) {
     if (commands_in_flight_ >= context_.tunables.command_slots) return;
-    last_commanded_ = id;
+    last_dispatched_ = id;
     dispatch_queue_.remove(id);
     ShardMachine* machine = state_.find_machine(id);
     if (!machine) continue;
     if (has_command_slot(*machine)) {
       dispatch_commands(*machine);
-      // Still something to do later: when a pause is over.
+      // The machine may not be sent commands before `next_dispatch`.
       if (machine->dispatch_wanted && !machine->command_in_flight &&
           context_.now < machine->next_dispatch)
         dispatch_queue_.add_later(id, machine->next_dispatch);
@@ -39,10 +40,10 @@
   }
 }
 
-// Each command that waits for its answer takes a socket, and a machine that is gone gives none
-// until the time-out. With a command to each machine of a lost zone at once no socket was left for
-// the state store, whose lease expired, and commands that had found no socket were counted against
-// machines as not answered.
+// Each call with commands holds a socket until it is answered or, if the machine is gone, times
+// out. When commands went to all machines of a lost zone at once, no socket was left for the state
+// store, whose lease expired, and commands that got no socket counted against their machines as
+// unanswered.
 bool CommandDispatcher::has_command_slot(const ShardMachine& machine) const {
   if (commands_in_flight_ >= context_.tunables.command_slots) return false;
   return machine.commands_failing_since == 0 ||
@@ -56,10 +57,11 @@
   const auto* durable = state_cache_.machine(machine.id);
   if (!durable || machine.address.empty() || durable->record.terminating()) return;
   WorkerCommands reconciled = reconciler_.reconcile(machine);
-  // The worker has not seen our fencing token yet, so a former shard leader's commands still pass.
-  const bool fencing_wanted =
+  // A worker that has not seen the current fencing token still accepts commands of a former shard
+  // leader.
+  const bool token_not_seen =
       machine.known && machine.highest_token_seen < state_.fencing_token(machine);
-  if (reconciled.commands.empty() && !machine.dispatch_wanted && !fencing_wanted) return;
+  if (reconciled.commands.empty() && !machine.dispatch_wanted && !token_not_seen) return;
   send_commands(machine, std::move(reconciled));
 }
 
@@ -100,8 +102,8 @@
   dispatch_queue_.add(machine.id);
   if (status == kConflict && heartbeat.fencing_token > state_.fencing_token(machine))
     machine.next_dispatch = context_.now + context_.tunables.probe_every_s;
-  // The worker can be reached again: a write of its record, whatever it says, gives a new fencing
-  // token, under which it drops the start that may still be in flight.
+  // The worker can be reached again. Any write of its machine record yields a new fencing token,
+  // and a worker that has seen that token drops the start that may still be in flight.
   if (machine.unacknowledged_start != 0)
     machine_writer_.enqueue(machine.id, WriteCause::other, [](MachineRecord&) { return true; });
 }
@@ -118,9 +120,9 @@
 }
 
 double CommandDispatcher::next_due() const {
-  // Those left by `dispatch_due_commands` are for the next batch, or for the next answer that makes
-  // a slot free.
-  if (dispatch_queue_.anything_due() && commands_in_flight_ < context_.tunables.command_slots)
+  // Machines that `dispatch_due_commands` left in the queue are served in the next batch, or, if no
+  // slot is free, after the next answer.
+  if (dispatch_queue_.any_due() && commands_in_flight_ < context_.tunables.command_slots)
     return context_.now;
   return dispatch_queue_.next_delayed();
 }
--- a/src/coordination/shard/command_dispatcher.h
+++ b/src/coordination/shard/command_dispatcher.h
@@ -1,9 +1,10 @@
-// Sends commands to workers, without waiting for their heartbeats.
+// Sends commands to workers without waiting for their heartbeats.
 //
-// Invariant: at most one call with commands is in flight to each worker, and never more in all than
-// there are slots (sockets) for them; machines that did not answer the last call share a part of
-// the slots. A start without an answer is remembered by its fencing token until the worker shows
-// that it can't arrive any more. Called by ShardController at the end of each batch.
+// Invariant: each worker has at most one call with commands in flight. All workers together have at
+// most `command_slots` such calls, as each takes a socket; the machines that did not answer their
+// last call share `silent_command_slots` of them. The fencing token of an unanswered start is kept
+// until the worker shows that the start can no longer arrive. Called by ShardController at the end
+// of each batch.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -27,15 +28,16 @@
         reconciler_(reconciler),
         machine_writer_(machine_writer) {}
 
-  /// Sends commands to the machines that are due; to be called at the end of a batch.
+  /// Sends commands to machines that are due. Must be called at the end of each batch.
   void dispatch_due_commands();
-  /// When there is something to dispatch by the clock alone; a time that has passed: at once.
+  /// Returns the steady time, in seconds, of the next dispatch that needs no further input. A time
+  /// that has passed means at once.
   double next_due() const;
-  /// Calls with commands that are not answered yet.
+  /// Returns the number of calls with commands that are not answered yet.
   size_t commands_in_flight() const { return commands_in_flight_; }
 
  private:
-  /// What has to be known of commands in flight when their call is done.
+  /// The data about commands in flight that is needed when their call is done.
   struct SentCommands {
     std::string machine;
     uint64_t fencing_token = 0;
@@ -57,10 +59,10 @@
   HeartbeatIntake& intake_;
   TaskReconciler& reconciler_;
   MachineRecordWriter& machine_writer_;
-  /// The next ones follow it by id.
-  std::string last_commanded_;
+  /// Id of the machine that was dispatched last; the next batch continues after it.
+  std::string last_dispatched_;
   size_t commands_in_flight_ = 0;
-  /// Of them, to machines that did not answer the last ones.
+  /// Calls in flight to machines that did not answer their last call with commands.
   size_t silent_commands_in_flight_ = 0;
 };
 
--- a/src/coordination/shard/dispatch_queue.cpp
+++ b/src/coordination/shard/dispatch_queue.cpp
@@ -10,10 +10,11 @@
     due_.insert(delayed_.extract(delayed_.begin()).value().second);
 }
 
-std::vector<std::string> DispatchQueue::next_after(const std::string& last, size_t most) const {
+std::vector<std::string> DispatchQueue::next_after(const std::string& last,
+                                                   size_t max_count) const {
   std::vector<std::string> machines;
   auto next = due_.upper_bound(last);
-  for (size_t left = std::min(most, due_.size()); left > 0; --left) {
+  for (size_t left = std::min(max_count, due_.size()); left > 0; --left) {
     if (next == due_.end()) next = due_.begin();
     machines.push_back(*next++);
   }
--- a/src/coordination/shard/dispatch_queue.h
+++ b/src/coordination/shard/dispatch_queue.h
@@ -1,5 +1,5 @@
-// Machines to which commands may have to be sent, now or at a later time. Every module that changes
-// what a machine should run adds it here; CommandDispatcher works the queue off.
+// Queue of machines that may need commands, now or at a later time. Every module that changes what
+// a machine should run adds the machine here; CommandDispatcher takes machines off the queue.
 #pragma once
 #include <set>
 #include <string>
@@ -15,12 +15,13 @@
   void merge(std::set<std::string>& machines) { due_.merge(machines); }
   void remove(const std::string& machine) { due_.erase(machine); }
 
-  /// Makes due what was delayed up to now.
+  /// Makes the machines due whose delay ended by `now`, a steady time in seconds.
   void advance(double now);
-  /// Up to `most` machines that are due, in turn by id, going on after `last`.
-  std::vector<std::string> next_after(const std::string& last, size_t most) const;
-  bool anything_due() const { return !due_.empty(); }
-  /// When the first delayed machine becomes due; infinity: none.
+  /// Returns up to `max_count` due machines, round-robin by id, starting after `last`.
+  std::vector<std::string> next_after(const std::string& last, size_t max_count) const;
+  bool any_due() const { return !due_.empty(); }
+  /// Returns the steady time, in seconds, at which the next delayed machine becomes due; infinity
+  /// if none is delayed.
   double next_delayed() const;
 
  private:
--- a/src/coordination/shard/failure_attribution.h
+++ b/src/coordination/shard/failure_attribution.h
@@ -1,34 +1,34 @@
-// A task failed: is it the job's fault or the machine's? A job that was submitted with a mistake
-// fails on every machine, a faulty machine fails every job. Pure functions: FailureTracker keeps
-// the evidence and acts on the verdict.
+// Attributes failed tasks to their job or to their machine: a job that was submitted with a mistake
+// fails on every machine, and on a faulty machine every job fails. The functions are pure;
+// FailureTracker records the failures and acts on the result.
 #pragma once
 #include <cstddef>
 #include <vector>
 
 namespace rushtrestle::coordination {
 
-/// A job of which a task failed on the machine in question since that machine last completed a
-/// task.
+/// A job with a task that failed on the assessed machine since that machine last completed a task.
 struct FailedJob {
-  /// Known to run elsewhere: it completed tasks, or its replicas have run for a lease.
+  /// The job is known to run: it completed tasks, or its replicas have run for a worker lease.
   bool known_good = false;
-  /// The machine in question included; since the job last completed a task.
+  /// Number of machines, the assessed one included, on which the job failed since it last completed
+  /// a task.
   size_t machines_failed_on = 0;
 };
 
 enum class MachineVerdict {
   healthy,
-  /// Gets no more work until its jobs' next tries show whose fault it was.
+  /// The machine gets no more work until retries of its failed jobs show what is at fault.
   suspect,
   faulty
 };
 
-/// Does the job fail wherever it is tried, as far as is known? Its failures then are no
-/// evidence against machines.
+/// Returns true if the job has failed on several machines and is not known to run. Its failures
+/// are then no evidence against machines.
 bool fails_everywhere(const FailedJob& job);
 
-/// Different jobs that fail on a machine are evidence against it, but only those that don't fail
-/// everywhere.
-MachineVerdict judge_machine(const std::vector<FailedJob>& failed);
+/// Classifies a machine by the different jobs that failed on it. Jobs that fail everywhere don't
+/// count.
+MachineVerdict classify_machine(const std::vector<FailedJob>& failed);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/failure_tracker.cpp
+++ b/src/coordination/shard/failure_tracker.cpp
@@ -10,9 +10,9 @@
 using store::JobKind;
 using store::JobStatus;
 
-// With a third of the arrays submitted with a mistake, 104 healthy machines were marked for
-// deletion in ten minutes: each failure counted against the machine. And a healthy array backed off
-// because of the tasks that one faulty machine had failed.
+// Failures are attributed before they count. When each failure counted against its machine and a
+// third of the arrays were submitted with a mistake, 104 healthy machines were marked for deletion
+// in ten minutes. A healthy array also backed off because its tasks failed on one faulty machine.
 void FailureTracker::task_failed(ShardMachine& machine, ShardJob& job) {
   context_.counters["task_errors"]++;
   machine.failed_jobs.insert(job.desired.spec.id);
@@ -22,16 +22,16 @@
   judge(machine);
   if (!fails_everywhere({known_good(job), job.failed_on.size()})) return;
   back_off(job);
-  // The job is at fault: its failures no longer count against the machines where they happened.
+  // The job is at fault, so its failures no longer count against the machines where they happened.
   for (const auto& id : job.failed_on)
     if (ShardMachine* other = state_.find_machine(id)) judge(*other);
 }
 
-// The job's tasks fail side by side: while it backs off, further failures don't raise its level.
+// A job's tasks fail concurrently, so failures during the backoff don't raise the backoff level.
 void FailureTracker::back_off(ShardJob& job) {
-  constexpr int kHighestLevel = 5;
+  constexpr int kMaxBackoffLevel = 5;
   if (context_.now < job.retry_at) return;
-  job.backoff_level = std::min(job.backoff_level + 1, kHighestLevel);
+  job.backoff_level = std::min(job.backoff_level + 1, kMaxBackoffLevel);
   job.retry_at = context_.now + context_.jitter(context_.settings.heartbeat_interval_s *
                                                 std::pow(2.0, job.backoff_level));
   job.avoid.clear();
@@ -43,7 +43,7 @@
          context_.wall - job.desired.last_start > context_.settings.lease_s;
 }
 
-// This bounds what the retries of such an array cost.
+// Retrying one task at a time bounds the cost of an array that fails everywhere.
 bool FailureTracker::on_probation(const ShardJob& job) const {
   return job.desired.spec.kind == JobKind::array &&
          fails_everywhere({known_good(job), job.failed_on.size()});
@@ -57,9 +57,9 @@
     if (job) failed.push_back({known_good(*job), job->failed_on.size()});
     if (!job && finished && finished->status == JobStatus::done) failed.push_back({true, 1});
   }
-  const MachineVerdict before = std::exchange(machine.verdict, judge_machine(failed));
-  if (before == machine.verdict) return;
-  if (before == MachineVerdict::healthy) machine.suspect_since = context_.now;
+  const MachineVerdict previous = std::exchange(machine.verdict, classify_machine(failed));
+  if (previous == machine.verdict) return;
+  if (previous == MachineVerdict::healthy) machine.suspect_since = context_.now;
   state_.request_scheduling();
   if (machine.quarantined()) {
     context_.info("machine_quarantined machine=" + machine.id + " reason=failed_jobs");
--- a/src/coordination/shard/failure_tracker.h
+++ b/src/coordination/shard/failure_tracker.h
@@ -1,8 +1,8 @@
-// Keeps the evidence of failed tasks and acts on it: a job that fails everywhere backs off, a
-// machine on which different jobs fail is quarantined (failure_attribution.h decides whose fault it
-// is).
+// Records failed tasks and acts on them: a job that fails everywhere backs off, and a machine on
+// which different jobs fail is quarantined. failure_attribution.h decides whether the job or the
+// machine is at fault.
 //
-// Invariant: a machine's verdict is judged anew when a task fails or completes on it, and when one
+// Invariant: a machine's verdict is recomputed when a task fails or completes on it, and when one
 // of the jobs that failed on it turns out to fail everywhere. Called by TaskReconciler,
 // MachineHealth and Scheduler.
 #pragma once
@@ -15,14 +15,14 @@
   FailureTracker(Context& context, store::StateCache& state_cache, ShardState& state)
       : context_(context), state_cache_(state_cache), state_(state) {}
 
-  /// A task of the job failed on the machine: counts it against both and judges the machine.
+  /// Records that a task of the job failed on the machine, and recomputes the machine's verdict.
   void task_failed(ShardMachine& machine, ShardJob& job);
-  /// Known to run: an array that has completed a task, a service or gang that has run for a
-  /// worker's lease.
+  /// Returns true if the job is known to run: it has completed a task, or it is a service or gang
+  /// that has run for a worker lease.
   bool known_good(const ShardJob& job) const;
-  /// An array that fails everywhere: it is tried with one task at a time.
+  /// Returns true for an array that fails everywhere, which is retried with one task at a time.
   bool on_probation(const ShardJob& job) const;
-  /// Judges anew whether the machine is quarantined.
+  /// Recomputes the machine's verdict, which decides whether the machine is quarantined.
   void judge(ShardMachine& machine);
 
  private:
--- a/src/coordination/shard/heartbeat_handler.cpp
+++ b/src/coordination/shard/heartbeat_handler.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr int kOk = 200;
-constexpr int kMisdirected = 421;  // the worker is to ask the controller that the answer names
+constexpr int kMisdirected = 421;  // the worker is to turn to the controller named in the answer
 
 HeartbeatResponse redirect_to(const std::string& controller) {
   return {kMisdirected, 0, {}, controller};
@@ -31,12 +31,12 @@
   context_.out.push_back(AnswerHeartbeat{request, std::move(response)});
 }
 
-// In a partition between two zones, or around a controller that lost its workers, a worker that was
-// redirected to a shard leader that it can't reach lost its lease and all its tasks, though other
-// controllers reach both. A worker that already obeys the shard leader's fencing token and still
-// asks us can't reach it: its heartbeat goes to the shard leader through us, and the shard leader's
-// answer back, as if it had been sent directly. Now and then the worker is redirected to the shard
-// leader again (tunables.forward_s).
+// A worker that has seen its shard leader's fencing token and still sends its heartbeat here can't
+// reach the leader. This controller forwards the heartbeat to the leader and passes its answer
+// back, as if the worker had sent it directly. After `tunables.forward_s` seconds of this, the
+// worker is redirected to the leader again. Without forwarding, in a partition between two zones or
+// around a controller that lost contact with its workers, a worker that was redirected to a leader
+// that it can't reach lost its lease and all its tasks, though other controllers reached both.
 bool HeartbeatHandler::forward(RequestId request, Heartbeat& heartbeat) {
   const auto* durable = state_cache_.machine(heartbeat.machine);
   if (!durable || durable->record.terminating() ||
@@ -44,7 +44,7 @@
     return false;
   const std::string shard_leader = membership_.shard_leader(durable->record.shard);
   if (shard_leader.empty() || shard_leader == context_.settings.node ||
-      heartbeat.fencing_token < leaders_token(durable->record.shard, heartbeat.machine)) {
+      heartbeat.fencing_token < leader_fencing_token(durable->record.shard, heartbeat.machine)) {
     forwarding_since_.erase(heartbeat.machine);
     return false;
   }
@@ -56,7 +56,7 @@
     return false;
   }
   if (forwards_in_flight_ >= context_.tunables.forward_slots) {
-    // Another controller may have a slot to forward it: the worker asks the next one.
+    // The empty response (503) makes the worker try the next controller, which may have a slot.
     context_.counters["relays_refused"]++;
     answer(request, HeartbeatResponse{});
   } else {
@@ -65,17 +65,18 @@
   return true;
 }
 
-// The fencing token of the machine's shard leader, as far as the state cache knows.
-uint64_t HeartbeatHandler::leaders_token(int shard, const std::string& machine) const {
+// Returns the fencing token of the machine's shard leader, as far as the state cache knows it.
+uint64_t HeartbeatHandler::leader_fencing_token(int shard, const std::string& machine) const {
   return std::max(state_cache_.mod_revision_of(store::shard_key(shard)),
                   state_cache_.mod_revision_of(store::machine_key(machine)));
 }
 
-// We hear nothing of the shard leader either: a peer that does forwards the worker's heartbeats.
+// This controller doesn't hear the shard leader either. A peer that does can forward the worker's
+// heartbeats.
 bool HeartbeatHandler::redirect_to_relay_peer(RequestId request, const Heartbeat& heartbeat,
                                               const std::string& shard_leader) {
   const std::string relay_peer = membership_.relay_peer(shard_leader);
-  if (relay_peer.empty()) return keep_alive(request, heartbeat);
+  if (relay_peer.empty()) return renew_while_disconnected(request, heartbeat);
   answer(request, redirect_to(relay_peer));
   return true;
 }
@@ -93,27 +94,28 @@
                 });
 }
 
-// A zone was cut off from everything, with the shard leader of its workers outside: they reached a
-// controller of their own zone, were redirected to the shard leader that neither reaches, and lost
-// all their tasks a lease later, though nothing had happened to them. A controller that is itself
-// disconnected from the state store, and hears no peer that is connected, renews the lease of a
-// worker that obeyed the shard leader known here, with the worker's own fencing token and no
-// commands but to stop what was cancelled before the partition. For how long, and why every
-// cancellation still takes effect in time: docs/architecture.md, Cancellation.
-bool HeartbeatHandler::keep_alive(RequestId request, const Heartbeat& heartbeat) {
+// Renews the lease of a worker that has seen the known shard leader's fencing token, if this
+// controller is disconnected from the state store and hears no peer that is connected. The answer
+// carries the worker's own fencing token, and no commands but stops of what was cancelled before
+// the partition. Without this, when a zone was cut off with the shard leader outside, a controller
+// of the zone redirected the workers to that leader, which neither it nor they could reach, and
+// they lost all their tasks a lease later. docs/architecture.md, Cancellation, says for how long
+// leases are renewed like this, and why every cancellation still takes effect in time.
+bool HeartbeatHandler::renew_while_disconnected(RequestId request, const Heartbeat& heartbeat) {
   if (state_store_.lease_valid() || !membership_.may_renew_while_disconnected()) return false;
   context_.counters["kept_alive"]++;
-  answer(request, renew_under_own_token(heartbeat));
+  answer(request, renew_under_worker_token(heartbeat));
   return true;
 }
 
-HeartbeatResponse HeartbeatHandler::renew_under_own_token(const Heartbeat& heartbeat) const {
-  return {kOk, heartbeat.fencing_token, stops_of_cancelled(heartbeat), ""};
+HeartbeatResponse HeartbeatHandler::renew_under_worker_token(const Heartbeat& heartbeat) const {
+  return {kOk, heartbeat.fencing_token, stops_for_cancelled_tasks(heartbeat), ""};
 }
 
-// These stops are right whoever sends them and whatever else is in flight: every answer that renews
-// a lease carries them.
-std::vector<WorkerCommand> HeartbeatHandler::stops_of_cancelled(const Heartbeat& heartbeat) const {
+// Stops of cancelled tasks are valid whichever controller sends them and whatever else is in
+// flight, so every answer that renews a lease carries them.
+std::vector<WorkerCommand> HeartbeatHandler::stops_for_cancelled_tasks(
+    const Heartbeat& heartbeat) const {
   std::vector<WorkerCommand> stops;
   for (const auto& task : heartbeat.tasks)
     if (task.state != TaskState::exited && state_cache_.cancelled(task.job))
@@ -123,12 +125,13 @@
 
 HeartbeatResponse HeartbeatHandler::respond(const Heartbeat& heartbeat, HeartbeatSource source) {
   const auto* durable = state_cache_.machine(heartbeat.machine);
-  // This controller restarted in an outage of the state store: nobody can read the keys, so nobody
-  // can acquire a shard, accept or cancel either. While all controllers agree on that, and what was
-  // cancelled before is known from them, the worker's own fencing token keeps its tasks alive.
+  // This controller restarted in an outage of the state store. No controller can read the keys, so
+  // none can acquire a shard or accept or cancel a job. While all controllers report the outage and
+  // the earlier cancellations are known from them, the worker's lease is renewed under the worker's
+  // own fencing token, so that its tasks go on.
   if (!state_store_.synced() && membership_.outage_shared() &&
       membership_.may_renew_while_disconnected())
-    return renew_under_own_token(heartbeat);
+    return renew_under_worker_token(heartbeat);
   if (!durable || durable->record.terminating()) return {};
   const int shard = durable->record.shard;
   ShardMachine* machine = state_.find_machine(heartbeat.machine);
@@ -137,8 +140,8 @@
     if (shard_leader.empty() || shard_leader == context_.settings.node) return {};
     return redirect_to(shard_leader);
   }
-  // A higher fencing token than ours: another controller leads the shard, and this one has not
-  // learned it yet.
+  // A fencing token above this controller's shows that another controller leads the shard, which
+  // this one has not learned yet.
   if (heartbeat.fencing_token > state_.fencing_token(*machine) || !membership_.may_renew_workers())
     return {};
   machine->last_heartbeat = context_.now;
@@ -146,32 +149,32 @@
   return {kOk, state_.fencing_token(*machine), std::move(commands), ""};
 }
 
-// The commands for the answer.
+// Returns the commands for the answer.
 std::vector<WorkerCommand> HeartbeatHandler::apply_and_reconcile(ShardMachine& machine,
                                                                  const Heartbeat& heartbeat,
                                                                  HeartbeatSource source) {
-  std::vector<WorkerCommand> stops = stops_of_cancelled(heartbeat);
+  std::vector<WorkerCommand> stops = stops_for_cancelled_tasks(heartbeat);
   if (!intake_.apply(machine, heartbeat)) return stops;
   if (source == HeartbeatSource::other_controller) machine.forwarded_at = context_.now;
   if (machine.command_in_flight) return stops;
   WorkerCommands reconciled = reconciler_.reconcile(machine);
   if (!reconciled.has_start) return std::move(reconciled.commands);
-  // Starts are sent by CommandDispatcher only: one in an answer could arrive after a stop that was
+  // Only CommandDispatcher sends starts: a start in an answer could arrive after a stop that was
   // pushed later.
   dispatch_queue_.add(machine.id);
   return stops;
 }
 
-// Peers ask this of machines that they are responsible for, so those of our shards are left out:
-// with them, the messages between controllers grew with the fleet and cost as much processor time
-// as the workers' heartbeats.
+// Peers need this for the machines that they are responsible for, so machines of the shards that
+// this controller leads are left out. With those included, the messages between controllers grew
+// with the fleet and cost as much processor time as the workers' heartbeats.
 std::vector<std::string> HeartbeatHandler::machines_heard_of_other_shards() const {
   std::vector<std::string> heard;
   for (const auto& [id, heard_at] : last_heard_at_) {
     const auto machine = state_.machines().find(id);
-    const bool ours =
+    const bool led_here =
         machine != state_.machines().end() && membership_.shard_token(machine->second.shard) != 0;
-    if (!ours && context_.now - heard_at < context_.tunables.probe_after_s) heard.push_back(id);
+    if (!led_here && context_.now - heard_at < context_.tunables.probe_after_s) heard.push_back(id);
   }
   return heard;
 }
--- a/src/coordination/shard/heartbeat_handler.h
+++ b/src/coordination/shard/heartbeat_handler.h
@@ -1,9 +1,9 @@
-// Answers workers' heartbeats: those of machines of our shards by reconciling them, others by
-// forwarding them or by naming the controller that leads their shard.
+// Answers workers' heartbeats. A heartbeat from a machine of a shard that this controller leads is
+// reconciled; any other is forwarded to the shard leader, or its worker is redirected.
 //
 // Invariant: an answer renews the worker's lease only if Membership::may_renew_workers (or, without
 // the state store, may_renew_while_disconnected) holds, and then carries a stop for each cancelled
-// task that the worker reports. Called by the core for each heartbeat.
+// task that the worker reports. Called by Core for each heartbeat.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -30,15 +30,16 @@
         intake_(intake),
         reconciler_(reconciler) {}
 
-  /// One that a worker sent here. It is answered with AnswerHeartbeat, now or when the shard leader
-  /// has answered.
+  /// Handles a heartbeat that a worker sent to this controller. It is answered with
+  /// AnswerHeartbeat, at once or when the shard leader has answered.
   void handle_heartbeat(RequestId request, Heartbeat&& heartbeat);
-  /// One that a worker sent to another controller, which does not lead the machine's shard. It is
-  /// answered with AnswerForwardedHeartbeat.
+  /// Handles a heartbeat that a worker sent to another controller, which does not lead the
+  /// machine's shard. It is answered with AnswerForwardedHeartbeat.
   void handle_forwarded_heartbeat(RequestId request, const Heartbeat& heartbeat);
-  /// Machines that sent heartbeats here lately though another controller leads their shard.
+  /// Returns the machines that sent heartbeats here in the last `probe_after_s` seconds although
+  /// this controller does not lead their shard.
   std::vector<std::string> machines_heard_of_other_shards() const;
-  /// Forgets what was heard a lease ago.
+  /// Removes entries of machines whose last heartbeat here is more than a worker lease old.
   void forget_old();
 
  private:
@@ -48,16 +49,16 @@
   HeartbeatResponse respond(const Heartbeat& heartbeat, HeartbeatSource source);
   std::vector<WorkerCommand> apply_and_reconcile(ShardMachine& machine, const Heartbeat& heartbeat,
                                                  HeartbeatSource source);
-  /// True: answered, or forwarded to the shard leader, with whose answer it is answered later; only
-  /// then the heartbeat may be moved from. False: to be answered here.
+  /// Returns true if the heartbeat was answered, or forwarded to the shard leader, whose answer is
+  /// passed on later; only then may the heartbeat be moved from. False: the caller answers it.
   bool forward(RequestId request, Heartbeat& heartbeat);
-  uint64_t leaders_token(int shard, const std::string& machine) const;
+  uint64_t leader_fencing_token(int shard, const std::string& machine) const;
   bool redirect_to_relay_peer(RequestId request, const Heartbeat& heartbeat,
                               const std::string& shard_leader);
   void send_to_leader(RequestId request, Heartbeat&& heartbeat, const std::string& address);
-  bool keep_alive(RequestId request, const Heartbeat& heartbeat);
-  HeartbeatResponse renew_under_own_token(const Heartbeat& heartbeat) const;
-  std::vector<WorkerCommand> stops_of_cancelled(const Heartbeat& heartbeat) const;
+  bool renew_while_disconnected(RequestId request, const Heartbeat& heartbeat);
+  HeartbeatResponse renew_under_worker_token(const Heartbeat& heartbeat) const;
+  std::vector<WorkerCommand> stops_for_cancelled_tasks(const Heartbeat& heartbeat) const;
 
   Context& context_;
   store::StateCache& state_cache_;
@@ -67,9 +68,10 @@
   DispatchQueue& dispatch_queue_;
   HeartbeatIntake& intake_;
   TaskReconciler& reconciler_;
-  /// By machine, of whichever shard.
+  /// Steady time, in seconds, of the last heartbeat sent here, by machine of any shard.
   std::unordered_map<std::string, double> last_heard_at_;
-  /// By machine, of shards that other controllers lead.
+  /// Steady time, in seconds, since which heartbeats are forwarded, by machine; only machines of
+  /// shards that other controllers lead.
   std::unordered_map<std::string, double> forwarding_since_;
   size_t forwards_in_flight_ = 0;
 };
--- a/src/coordination/shard/heartbeat_intake.cpp
+++ b/src/coordination/shard/heartbeat_intake.cpp
@@ -8,9 +8,9 @@
 
 using store::JobKind;
 
-// What no worker should report changes nothing of what is placed: a task that is not placed on the
-// machine is stopped, whatever its state. Logged at a limited rate, as it shows a faulty worker or
-// a record that was lost.
+// Logs reports that no correct worker sends, at a limited rate. They show a faulty worker or a lost
+// record, and change no placement: a task that is not placed on the machine is stopped, whatever
+// its state.
 void HeartbeatIntake::log_inconsistencies(const Heartbeat& heartbeat) {
   for (const auto& task : heartbeat.tasks) {
     const auto* durable = state_cache_.job(task.job);
@@ -34,7 +34,7 @@
       std::make_pair(machine.agent_epoch, machine.sequence))
     return false;
   log_inconsistencies(heartbeat);
-  settle_unacknowledged_start(machine, heartbeat);
+  clear_unacknowledged_start(machine, heartbeat);
   if (!machine.known) state_.request_scheduling();
   machine.known = true;
   machine.agent_epoch = heartbeat.agent_epoch;
@@ -44,7 +44,8 @@
   if (context_.now - machine.last_seen > context_.tunables.probe_after_s)
     machine.heard_since = context_.now;
   machine.last_seen = context_.now;
-  if (heartbeat.notice_s && !machine.notice_s) stop_what_can_save(machine, *heartbeat.notice_s);
+  if (heartbeat.notice_s && !machine.notice_s)
+    stop_tasks_that_can_save(machine, *heartbeat.notice_s);
   machine.notice_s = heartbeat.notice_s;
   machine.address = heartbeat.address;
   const auto* durable = state_cache_.machine(machine.id);
@@ -53,19 +54,19 @@
   return true;
 }
 
-// A start that was not answered can't arrive any more in a newer agent epoch, as the worker drops
-// late commands of the old one and whatever ran is gone, nor once the worker has seen a higher
-// fencing token than the start's.
-void HeartbeatIntake::settle_unacknowledged_start(ShardMachine& machine,
-                                                  const Heartbeat& heartbeat) {
+// An unanswered start can no longer arrive in a newer agent epoch, as the worker drops late
+// commands of the old epoch and the tasks that ran in it are gone. Nor can it arrive once the
+// worker has seen a higher fencing token than that of the start.
+void HeartbeatIntake::clear_unacknowledged_start(ShardMachine& machine,
+                                                 const Heartbeat& heartbeat) {
   if (heartbeat.agent_epoch > machine.agent_epoch ||
       heartbeat.fencing_token > machine.unacknowledged_start)
     machine.unacknowledged_start = 0;
 }
 
-// The cloud takes the machine back in `notice_s` seconds. What can save in time is stopped and goes
-// elsewhere; the rest runs on as long as it may.
-void HeartbeatIntake::stop_what_can_save(ShardMachine& machine, double notice_s) {
+// The cloud takes the machine back in `notice_s` seconds. Tasks that can save a checkpoint in that
+// time are stopped and placed elsewhere; the others run until the machine is taken back.
+void HeartbeatIntake::stop_tasks_that_can_save(ShardMachine& machine, double notice_s) {
   job_writer_.stop_tasks(machine, [&](const store::JobRecord& job, const store::Placement&) {
     return job.spec.checkpoint_s > 0 && notice_s >= job.spec.save_s;
   });
--- a/src/coordination/shard/heartbeat_intake.h
+++ b/src/coordination/shard/heartbeat_intake.h
@@ -1,8 +1,8 @@
-// Applies what a worker reports to its machine, whichever way it came: by a heartbeat of its own,
-// forwarded by another controller, or in the answer to a command.
+// Applies a worker's heartbeat to its machine, whether the worker sent it here, another controller
+// forwarded it or it came in the answer to a command.
 //
-// Invariant: only what is newer by (agent epoch, sequence) changes anything. Called by
-// HeartbeatHandler and CommandDispatcher.
+// Invariant: a heartbeat changes state only if its (agent epoch, sequence) is higher than that of
+// the last one applied. Called by HeartbeatHandler and CommandDispatcher.
 #pragma once
 #include "coordination/shard/job_record_writer.h"
 #include "coordination/shard/machine_record_writer.h"
@@ -19,13 +19,14 @@
         job_writer_(job_writer),
         machine_writer_(machine_writer) {}
 
-  /// Applies the heartbeat to the machine. False: not newer than the last one, nothing changed.
+  /// Applies the heartbeat to the machine. Returns false and changes nothing if the heartbeat is
+  /// not newer than the last one applied.
   bool apply(ShardMachine& machine, const Heartbeat& heartbeat);
 
  private:
   void log_inconsistencies(const Heartbeat& heartbeat);
-  void settle_unacknowledged_start(ShardMachine& machine, const Heartbeat& heartbeat);
-  void stop_what_can_save(ShardMachine& machine, double notice_s);
+  void clear_unacknowledged_start(ShardMachine& machine, const Heartbeat& heartbeat);
+  void stop_tasks_that_can_save(ShardMachine& machine, double notice_s);
 
   Context& context_;
   store::StateCache& state_cache_;
--- a/src/coordination/shard/task_reconciler.cpp
+++ b/src/coordination/shard/task_reconciler.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-// Somebody waits for a job to be done, and the end of a gang's attempt must not be unknown to the
-// next shard leader. Other ends wait for more changes of the same record: the worker keeps what has
-// ended until the end is durable, so nothing is lost if this controller fails.
-WriteCause cause_of_end(const ShardJob& job) {
+// Users wait for a job to be done, and the next shard leader must know of the end of a gang's
+// attempt, so these ends are written sooner. Other ends wait for more changes of the same record:
+// the worker keeps an ended task until its end is durable, so nothing is lost if this controller
+// fails.
+WriteCause write_cause_of_task_end(const ShardJob& job) {
   if (job.desired.status == JobStatus::done) return WriteCause::job_done;
   return job.desired.spec.kind == JobKind::gang ? WriteCause::gang_phase : WriteCause::task_end;
 }
 
-// The worker did not take up the task, so that it never joined its attempt.
+// Returns true if the worker did not take up the task, which therefore never joined its attempt.
 bool start_refused(ExitCause cause) {
   return cause == ExitCause::no_room || cause == ExitCause::busy || cause == ExitCause::unknown;
 }
@@ -54,7 +55,7 @@
   return result;
 }
 
-// A task that is placed on the machine and is there.
+// Handles a reported task that is placed on the machine and has not ended.
 void TaskReconciler::update_task(ShardJob& job, const ReportedTask& reported,
                                  WorkerCommands& result) {
   for (auto& placement : job.desired.placed) {
@@ -69,7 +70,7 @@
     }
     const auto* durable = state_cache_.job(reported.job);
     const auto* durable_placement = durable ? durable->record.same_placement(placement) : nullptr;
-    // A stop is sent only once the decision is durable.
+    // A stop is sent only once the decision to stop the task is durable.
     const bool stop_is_durable =
         placement.stopping && durable_placement && durable_placement->stopping;
     if (job.desired.status == JobStatus::cancelled) {
@@ -80,8 +81,9 @@
   }
 }
 
-// A task that is not placed on the machine, or not any more. While the durable record still places
-// it there, it is left alone.
+// Handles a reported task that is not, or no longer, placed on the machine. While the durable
+// record still places the task there, it gets no command, unless it has not ended and its job is
+// cancelled.
 void TaskReconciler::stop_unexpected_task(const ShardMachine& machine, const ReportedTask& reported,
                                           WorkerCommands& result) const {
   const bool ended = reported.state == TaskState::exited;
@@ -89,32 +91,32 @@
   const auto* placement = durable ? durable->record.placement_of(reported.task) : nullptr;
   const bool durably_placed =
       placement && placement->machine == machine.id && placement->attempt == reported.attempt;
-  const bool cancelled_runs = !ended && state_cache_.cancelled(reported.job);
-  if (durably_placed && !cancelled_runs) return;
+  const bool runs_though_cancelled = !ended && state_cache_.cancelled(reported.job);
+  if (durably_placed && !runs_though_cancelled) return;
   if (!ended) {
     result.commands.push_back(command_for(WorkerVerb::stop, reported));
   } else if (no_earlier_start_can_arrive(machine)) {
-    // Otherwise a start of this attempt that arrives after the worker forgot it would run it again.
+    // If the worker forgot the task earlier, a late start of this attempt would run it again.
     result.commands.push_back(command_for(WorkerVerb::forget, reported));
   }
 }
 
-// No start is unacknowledged, and the worker has seen the current fencing token, under which it
-// drops commands of former shard leaders.
+// Returns true if no start is unacknowledged and the worker has seen the current fencing token, so
+// that it drops commands of former shard leaders.
 bool TaskReconciler::no_earlier_start_can_arrive(const ShardMachine& machine) const {
   return machine.unacknowledged_start == 0 &&
          machine.highest_token_seen >= state_.fencing_token(machine);
 }
 
-// Tasks that are placed on the machine and not there: started, or, if they were to be stopped,
-// known to be gone.
+// Handles tasks that are placed on the machine but not reported. They are started or, if they were
+// to be stopped, unbound once they are known to be gone.
 void TaskReconciler::start_missing_tasks(ShardMachine& machine, const std::set<TaskKey>& present,
                                          WorkerCommands& result) {
-  // Absence counts only in a heartbeat given under our fencing token, with no command of ours in
-  // flight: a start that arrives later would run the task after it was taken for gone.
-  const bool absence_counts = no_earlier_start_can_arrive(machine) && !machine.command_in_flight;
-  // Not on a machine that reaches no controller, though our commands reach it: its lease would soon
-  // end the task again.
+  // Absence is proof only if the worker has seen the current fencing token and no command is in
+  // flight: a start that arrives later would run a task that was taken for gone.
+  const bool absence_is_proof = no_earlier_start_can_arrive(machine) && !machine.command_in_flight;
+  // No task is started on a machine that reaches no controller, even if commands reach it: the
+  // worker's lease would soon expire and end the task.
   const bool may_start = may_act(state_store_) && state_.sends_heartbeats(machine);
   std::vector<TaskKey> gone;
   for (const auto& [key, attempt] : machine.placed) {
@@ -127,22 +129,22 @@
         placement && durable && durable->record.same_placement(*placement);
     if (!placement_durable) continue;
     if (job->desired.status != JobStatus::open || placement->stopping) {
-      if (absence_counts) gone.push_back(key);
+      if (absence_is_proof) gone.push_back(key);
     } else if (may_start && durable->record.status == JobStatus::open &&
                durable->mod_revision != job->unsettled_revision) {
       result.commands.push_back({WorkerVerb::start, key.first, key.second, attempt, 0});
       result.has_start = true;
     }
   }
-  unbind_gone(gone);
+  unbind_gone_tasks(gone);
 }
 
-void TaskReconciler::unbind_gone(const std::vector<TaskKey>& gone) {
+void TaskReconciler::unbind_gone_tasks(const std::vector<TaskKey>& gone) {
   for (const auto& [job_id, task] : gone) {
     ShardJob* job = state_.find_job(job_id);
     if (!job) continue;
     state_.unbind(*job, task);
-    job_writer_.enqueue(job_id, cause_of_end(*job));
+    job_writer_.enqueue(job_id, write_cause_of_task_end(*job));
   }
 }
 
@@ -150,9 +152,9 @@
                                 const ReportedTask& reported) {
   const std::string id = job.desired.spec.id;
   state_.unbind(job, reported.task);
-  // A member whose start was refused never joined its attempt, and is replaced. Any other end is
-  // the end of the attempt: it stands in the record, as a new shard leader would otherwise add
-  // members that wait in vain.
+  // A gang member whose start was refused never joined its attempt and is replaced. Any other end
+  // of a member ends the attempt, which is written to the record: a new shard leader would
+  // otherwise add members that wait in vain.
   if (!start_refused(reported.cause)) end_attempt(job.desired);
   switch (reported.cause) {
     case ExitCause::done: task_completed(machine, job, reported.task); break;
@@ -171,14 +173,14 @@
   if (job.desired.status == JobStatus::open && job.desired.spec.kind != JobKind::service &&
       job.desired.done.size() == job.desired.spec.tasks)
     job.desired.status = JobStatus::done;
-  job_writer_.enqueue(id, cause_of_end(job));
+  job_writer_.enqueue(id, write_cause_of_task_end(job));
 }
 
 void TaskReconciler::task_completed(ShardMachine& machine, ShardJob& job, uint32_t task) {
   auto& done = job.desired.done;
   if (job.desired.spec.kind == JobKind::array) done.insert(task);
-  // The members of a gang complete together: one whose machine was lost before it reported its end
-  // is done, too.
+  // The members of a gang complete together, so a member whose machine was lost before it reported
+  // its end is done, too.
   if (job.desired.spec.kind == JobKind::gang)
     for (uint32_t member = 0; member < job.desired.spec.tasks; ++member) done.insert(member);
   state_.update_pending(job);
@@ -188,8 +190,9 @@
   job.backoff_level = 0;
 }
 
-// One line a job: where the time went until all its tasks ran. Times in milliseconds; `seen_ms`
-// since the job's acceptance, the others since this controller took it up.
+// Logs one line per job that shows where the time went until all its tasks ran. Times are in
+// milliseconds: `seen_ms` from the job's acceptance until this controller took it up, the others
+// from then on.
 void TaskReconciler::log_first_run(ShardJob& job) {
   FirstRunTimes& times = job.first_run;
   const store::JobRecord& record = job.desired;
@@ -198,14 +201,14 @@
     return;
   times.whole_at = context_.now;
   if (!context_.logs(LogLine::Level::debug)) return;
-  const auto whole_ms = [](double seconds) {
+  const auto to_ms = [](double seconds) {
     return std::to_string(static_cast<int>(seconds * 1000));
   };
-  const auto ms_until = [&](double at) { return whole_ms(std::max(0.0, at - times.adopted_at)); };
+  const auto ms_until = [&](double at) { return to_ms(std::max(0.0, at - times.adopted_at)); };
   const double seen_after_s = context_.wall - record.submitted - (context_.now - times.adopted_at);
   context_.debug(
       "job_running_whole job=" + record.spec.id + " class=" + record.spec.job_class +
-      " seen_ms=" + whole_ms(seen_after_s) + " first_placed_ms=" + ms_until(times.first_placed_at) +
+      " seen_ms=" + to_ms(seen_after_s) + " first_placed_ms=" + ms_until(times.first_placed_at) +
       " last_placed_ms=" + ms_until(times.last_placed_at) +
       " written_ms=" + ms_until(times.first_written_at) + " running_ms=" + ms_until(context_.now) +
       " image_fetches=" + std::to_string(times.image_fetches) +
--- a/src/coordination/shard/task_reconciler.h
+++ b/src/coordination/shard/task_reconciler.h
@@ -1,9 +1,10 @@
-// Compares what a machine reports with what is placed on it, and gives the commands that bring the
-// two together. Called by HeartbeatHandler and CommandDispatcher.
+// Compares the tasks that a machine reports with those placed on it, and returns the commands that
+// make the two agree. Called by HeartbeatHandler and CommandDispatcher.
 //
-// Invariant: a task is started only if its placement is durable and the job open; a task that
-// should not run counts as gone only when its absence is proven (start_missing_tasks), and a worker
-// forgets an ended task only when no start of it can arrive any more (stop_unexpected_task).
+// Invariant: a task is started only if its placement is durable and its job is open. A task that
+// should not run counts as gone only when its absence is proven (start_missing_tasks). A worker is
+// told to forget an ended task only when no start of that task can still arrive
+// (stop_unexpected_task).
 #pragma once
 #include <set>
 #include <vector>
@@ -15,7 +16,7 @@
 
 struct WorkerCommands {
   std::vector<WorkerCommand> commands;
-  /// One of them is a start.
+  /// At least one of the commands is a start.
   bool has_start = false;
 };
 
@@ -31,8 +32,8 @@
         job_writer_(job_writer),
         failures_(failures) {}
 
-  /// Applies what the machine last reported to its tasks' jobs, and returns the commands that the
-  /// worker needs. None before its first heartbeat.
+  /// Applies the machine's last report to the jobs of its tasks, and returns the commands that the
+  /// worker needs; none before the machine's first heartbeat.
   WorkerCommands reconcile(ShardMachine& machine);
 
  private:
@@ -42,7 +43,7 @@
   bool no_earlier_start_can_arrive(const ShardMachine& machine) const;
   void start_missing_tasks(ShardMachine& machine, const std::set<TaskKey>& present,
                            WorkerCommands& result);
-  void unbind_gone(const std::vector<TaskKey>& gone);
+  void unbind_gone_tasks(const std::vector<TaskKey>& gone);
   void task_ended(ShardMachine& machine, ShardJob& job, const ReportedTask& reported);
   void task_completed(ShardMachine& machine, ShardJob& job, uint32_t task);
   void log_first_run(ShardJob& job);
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -1,4 +1,5 @@
-// Whose fault a failed task is: the job's, that was submitted with a mistake, or the machine's.
+// Tests whether failed tasks are attributed to a job that was submitted with a mistake or to a
+// faulty machine, and guards against the deletion of healthy machines because of such jobs.
 #include "coordination/shard/failure_attribution.h"
 
 #include <gtest/gtest.h>
@@ -12,18 +13,18 @@
 namespace {
 
 TEST(FailureAttribution, OnlyJobsThatDoNotFailEverywherePointToAMachine) {
-  const FailedJob new_one{false, 1};
-  const FailedJob broken{false, 2};
-  const FailedJob healthy{true, 3};
-  EXPECT_EQ(judge_machine({}), MachineVerdict::healthy);
-  EXPECT_EQ(judge_machine({healthy}), MachineVerdict::healthy);
-  EXPECT_EQ(judge_machine({broken, broken, broken}), MachineVerdict::healthy);
-  EXPECT_EQ(judge_machine({broken, new_one}), MachineVerdict::healthy);
-  EXPECT_EQ(judge_machine({new_one, new_one}), MachineVerdict::suspect);
-  EXPECT_EQ(judge_machine({healthy, new_one, broken}), MachineVerdict::faulty);
+  const FailedJob new_job{false, 1};
+  const FailedJob failing_job{false, 2};
+  const FailedJob known_good_job{true, 3};
+  EXPECT_EQ(classify_machine({}), MachineVerdict::healthy);
+  EXPECT_EQ(classify_machine({known_good_job}), MachineVerdict::healthy);
+  EXPECT_EQ(classify_machine({failing_job, failing_job, failing_job}), MachineVerdict::healthy);
+  EXPECT_EQ(classify_machine({failing_job, new_job}), MachineVerdict::healthy);
+  EXPECT_EQ(classify_machine({new_job, new_job}), MachineVerdict::suspect);
+  EXPECT_EQ(classify_machine({known_good_job, new_job, failing_job}), MachineVerdict::faulty);
 }
 
-store::JobSpec array_of(const std::string& id, uint32_t tasks) {
+store::JobSpec array_job(const std::string& id, uint32_t tasks) {
   store::JobSpec spec;
   spec.id = id;
   spec.job_class = "batch";
@@ -38,24 +39,25 @@
   return spec;
 }
 
-/// Machines that are condemned at some look, four a second, until the end of the play.
-std::set<std::string> condemned_until(ClusterSimulation& w, double end) {
-  std::set<std::string> condemned;
-  while (w.now() < end) {
-    w.run_until(w.now() + 0.25);
+/// Runs the simulation until `end`, in seconds, and returns the machines that are seen marked for
+/// deletion, checking four times a second.
+std::set<std::string> machines_marked_for_deletion_until(ClusterSimulation& cluster, double end) {
+  std::set<std::string> marked;
+  while (cluster.now() < end) {
+    cluster.run_until(cluster.now() + 0.25);
     for (int i = 1;; ++i) {
       char key[32];
       std::snprintf(key, sizeof key, "machine/n-%06d", i);
-      const auto* record = w.stored(key);
+      const auto* record = cluster.stored(key);
       if (!record) break;
       if (record->at("phase") == static_cast<int>(store::MachinePhase::marked_for_deletion))
-        condemned.insert(key);
+        marked.insert(key);
     }
   }
-  return condemned;
+  return marked;
 }
 
-ClusterSimulation::Options quiet_cloud() {
+ClusterSimulation::Options stable_fleet_options() {
   ClusterSimulation::Options options;
   options.boot_failures = false;
   options.consolidate = false;
@@ -63,37 +65,39 @@
 }
 
 TEST(FailureAttribution, JobsWithAMistakeCondemnNoMachineAndCostLittle) {
-  ClusterSimulation w(quiet_cloud());
-  constexpr int kBroken = 4;
-  for (int i = 0; i < kBroken; ++i) {
+  ClusterSimulation cluster(stable_fleet_options());
+  constexpr int kFailingJobs = 4;
+  for (int i = 0; i < kFailingJobs; ++i) {
     const std::string id = "job-" + std::to_string(10 + i);
-    w.submit(array_of(id, 12), 20 + 3 * i);
-    w.at(20 + 3 * i, [&w, id] { w.break_job(id); });
-    w.cancel(id, 170);
+    cluster.submit(array_job(id, 12), 20 + 3 * i);
+    cluster.at(20 + 3 * i, [&cluster, id] { cluster.break_job(id); });
+    cluster.cancel(id, 170);
   }
-  for (int i = 0; i < 12; ++i) w.submit(array_of("job-" + std::to_string(30 + i), 2), 21 + 8 * i);
-  EXPECT_TRUE(condemned_until(w, 230).empty());
-  EXPECT_TRUE(w.broken.empty());
   for (int i = 0; i < 12; ++i)
-    EXPECT_EQ(w.told("job-" + std::to_string(30 + i)).value_or(""), "done") << i;
-  for (int i = 0; i < kBroken; ++i) {
-    EXPECT_EQ(w.told("job-" + std::to_string(10 + i)).value_or(""), "cancelled");
-    EXPECT_LE(w.starts_of("job-" + std::to_string(10 + i)),
-              40U);  // with all twelve tasks tried each time: a hundred
+    cluster.submit(array_job("job-" + std::to_string(30 + i), 2), 21 + 8 * i);
+  EXPECT_TRUE(machines_marked_for_deletion_until(cluster, 230).empty());
+  EXPECT_TRUE(cluster.broken.empty());
+  for (int i = 0; i < 12; ++i)
+    EXPECT_EQ(cluster.told("job-" + std::to_string(30 + i)).value_or(""), "done") << i;
+  for (int i = 0; i < kFailingJobs; ++i) {
+    EXPECT_EQ(cluster.told("job-" + std::to_string(10 + i)).value_or(""), "cancelled");
+    EXPECT_LE(cluster.starts_of("job-" + std::to_string(10 + i)),
+              40U);  // retrying all twelve tasks each time would take about a hundred starts
   }
 }
 
 TEST(FailureAttribution, ABadMachineIsCondemnedAndItsJobsGoOnElsewhere) {
-  ClusterSimulation w(quiet_cloud());
-  auto first = array_of("job-1", 2);
+  ClusterSimulation cluster(stable_fleet_options());
+  auto first = array_job("job-1", 2);
   first.estimate_s = 30;
-  w.submit(first, 3);
-  w.at(25, [&w] { w.sicken_machine_of("job-1", 1000); });
-  for (int i = 0; i < 8; ++i) w.submit(array_of("job-" + std::to_string(10 + i), 3), 26 + 5 * i);
-  EXPECT_FALSE(condemned_until(w, 120).empty());
-  EXPECT_TRUE(w.broken.empty());
+  cluster.submit(first, 3);
+  cluster.at(25, [&cluster] { cluster.sicken_machine_of("job-1", 1000); });
+  for (int i = 0; i < 8; ++i)
+    cluster.submit(array_job("job-" + std::to_string(10 + i), 3), 26 + 5 * i);
+  EXPECT_FALSE(machines_marked_for_deletion_until(cluster, 120).empty());
+  EXPECT_TRUE(cluster.broken.empty());
   for (int i = 0; i < 8; ++i)
-    EXPECT_EQ(w.told("job-" + std::to_string(10 + i)).value_or(""), "done") << i;
+    EXPECT_EQ(cluster.told("job-" + std::to_string(10 + i)).value_or(""), "done") << i;
 }
 
 }  // namespace
