--- a/src/coordination/fleet/capacity_plan.h
+++ b/src/coordination/fleet/capacity_plan.h
@@ -1,6 +1,6 @@
-// What a capacity plan is made of and made from: kinds of machines, the machines that shards lack,
-// what they do not need, and what is known of the cloud beside the state cache. Plain data, without
-// behaviour of its own; the capacity planner fills plans, the cluster leader's modules act on them.
+// Data types of capacity planning: the kind of a machine, the plan (machines that shards lack or do
+// not need), and the facts about the cloud that are not in the state cache. The capacity planner
+// fills plans; the cluster leader's modules act on them.
 #pragma once
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace rushtrestle::coordination {
 
-/// One kind of machine that the cloud provides.
+/// A combination of machine type, zone and pricing model (spot or on-demand) that the cloud offers.
 struct MachineKind {
   std::string type;
   std::string zone;
@@ -21,56 +21,59 @@
       default;  // NOLINT(modernize-use-nullptr): clang-tidy 14 reads a 0 here
 };
 
-/// The kind of a machine on record.
+/// Returns the kind of a recorded machine.
 MachineKind kind_of(const store::MachineRecord& machine);
 
 /// Machines of one kind that a shard lacks.
 struct MachineShortage {
   int shard = 0;
   MachineKind kind;
-  int urgent = 0;                       // for work that waits
-  int expected = 0;                     // for work that is expected
-  store::Rank rank = store::Rank::low;  // of the most important work that waits for them
+  int urgent = 0;                       // machines for waiting work
+  int expected = 0;                     // machines for forecast work
+  store::Rank rank = store::Rank::low;  // highest rank of the waiting work
 
   int machines() const { return urgent + expected; }
-  /// One of them is provided for: first those for work that waits.
+  /// Takes one machine off the shortage, from `urgent` first.
   void reduce() { --(urgent > 0 ? urgent : expected); }
 };
 
-/// Work within its team's guarantee for which there is neither room nor anything to provision.
+/// A job whose next task is within its team's guarantee, but fits on no machine and cannot get a
+/// new one.
 struct UnmetDemand {
   int shard = 0;
   store::JobSpec spec;
-  ZoneCounts zones;
+  ZoneCounts zones;  // tasks of the job by zone, those placed by the plan included
 };
 
-/// The plans of one or more shards.
+/// The capacity plan of one or more shards.
 struct CapacityPlan {
   std::vector<MachineShortage> shortages;
-  /// Of best-effort teams: no reason to keep a machine.
+  /// Shortages of best-effort teams. They are no reason to keep an existing machine.
   std::vector<MachineShortage> best_effort_shortages;
-  std::vector<std::string> unused;  // machines
+  std::vector<std::string> unused;  // ids of machines that no work needs
   std::vector<UnmetDemand> unmet;
 };
 
-/// What the cluster leader knows of the cloud that is not in the state cache.
+/// What the cluster leader knows about the cloud beyond the contents of the state cache.
 struct CloudOutlook {
-  std::vector<store::MachineType> prices;             // current ones
-  std::set<MachineKind> unavailable;                  // not to be had at present
-  std::vector<store::MachineRecord> unrecorded;       // machines whose records are not durable yet
-  std::map<int, std::vector<MachineKind>> requested;  // by shard: asked for, without an answer
-  const std::set<std::string>* running = nullptr;     // machines that the cloud lists as running
+  std::vector<store::MachineType> prices;        // types with their current prices
+  std::set<MachineKind> unavailable;             // cannot be provisioned at present
+  std::vector<store::MachineRecord> unrecorded;  // provided, but their records are not durable yet
+  std::map<int, std::vector<MachineKind>> requested;  // by shard: the cloud has not answered yet
+  const std::set<std::string>* running = nullptr;  // machines the cloud lists as running, or null
 };
 
-/// May a task of this job be stopped without loss of work?
+/// Returns whether a task of this job can be stopped and restarted without losing work: services
+/// and jobs with checkpoints.
 bool can_move(const store::JobSpec& spec);
 
-/// May work of this job's rank be preempted, by the operators' settings?
+/// Returns whether the operators' settings allow preempting work of this job's rank.
 bool is_preemptible(const store::JobSpec& spec, const Context& context);
 
-/// A machine that should have come up by now: it may never do so, and does not count as capacity.
-/// Its record may get its address late, so what the cloud lists as running counts, too. `wall`:
-/// seconds, time of day.
+/// Returns whether the machine has exceeded the usual boot time without coming up. Such a machine
+/// may never come up, so plans do not count it as capacity. A machine has come up if its record has
+/// an address or the cloud lists it as running, because the address may reach the record late.
+/// `wall` is the wall-clock time in seconds.
 bool boot_overdue(const store::MachineRecord& machine, const store::StateCache& state_cache,
                   const std::set<std::string>* running, double wall);
 
--- a/src/coordination/fleet/capacity_planner.cpp
+++ b/src/coordination/fleet/capacity_planner.cpp
@@ -5,8 +5,8 @@
 namespace rushtrestle::coordination {
 
 void CapacityPlanner::plan_shard(int shard, CapacityPlan& plan) {
-  const std::set<std::string> without_none;
-  ShardPlanner planner(inputs_, shard, without_none, plan);
+  const std::set<std::string> no_exclusions;
+  ShardPlanner planner(inputs_, shard, no_exclusions, plan);
   if (logging_) planner.log_load();
   planner.run();
 }
--- a/src/coordination/fleet/capacity_planner.h
+++ b/src/coordination/fleet/capacity_planner.h
@@ -1,6 +1,7 @@
-// Works out which machines the waiting and expected work of a shard lacks and which of its machines
-// nothing needs. Planning changes nothing: the cluster leader's modules act on the result. Used by
-// the cluster leader, and by consolidation to try what a shard would be without some machines.
+// Computes which machines a shard lacks for its waiting and forecast work, and which of its
+// machines are unused. Planning has no side effects; the cluster leader's modules act on the plan.
+// Used by the cluster leader, and by consolidation to plan a shard as if some of its machines were
+// gone.
 #pragma once
 #include <set>
 #include <string>
@@ -18,11 +19,11 @@
                   const CloudOutlook& outlook)
       : inputs_{context, state_cache, membership, arrival_forecast, outlook} {}
 
-  /// Adds the plan of a shard to `plan`.
+  /// Plans the shard and appends the result to `plan`.
   void plan_shard(int shard, CapacityPlan& plan);
-  /// The plan of a shard as it would be without some of its machines.
+  /// Returns the plan of the shard as if `machines` (ids) did not exist.
   CapacityPlan plan_without(int shard, const std::set<std::string>& machines);
-  /// From now on `plan_shard` writes one log line a shard: what is placed and what waits.
+  /// Makes `plan_shard` log the placed and waiting tasks of each shard, one line per shard.
   void enable_logging() { logging_ = true; }
 
  private:
--- a/src/coordination/fleet/consolidation_rounds.h
+++ b/src/coordination/fleet/consolidation_rounds.h
@@ -1,6 +1,6 @@
-// Consolidation, one shard at a time: empties machines whose work fits on the others of their
-// shard. Owns whose turn it is and when; the consolidator chooses the machines. Run by the cluster
-// leader with each plan.
+// Schedules consolidation: each round handles one shard and drains machines whose work fits on the
+// other machines of the shard. Owns the order and the times of the rounds; the consolidator selects
+// the machines. The cluster leader checks with each plan whether a round is due.
 #pragma once
 #include <functional>
 
@@ -23,12 +23,13 @@
         reassignment_(reassignment),
         consolidator_(context, state_cache, membership, images) {}
 
-  /// At the start of a leadership: how long tasks have run is observed anew.
+  /// Forgets for how long tasks have been seen running. Called when leadership begins.
   void reset() { consolidator_.reset(); }
   bool due() const { return context_.now >= next_round_; }
-  /// One shard a plan, each once a sharing period: all at once would be a long pass. `planned`: the
-  /// plan of all shards before any machine was reassigned; `outlook` tells what is known of the
-  /// cloud now, and is asked only if the shard is looked at.
+  /// Handles the next shard. Each shard has one round per sharing period, because a single pass
+  /// over all shards would take too long. `planned` is the plan of all shards before any machine
+  /// was reassigned. `outlook` returns the current knowledge of the cloud; it is called only if the
+  /// shard has no unmet demand.
   void run(const CapacityPlan& planned, const std::function<CloudOutlook()>& outlook);
 
  private:
@@ -38,8 +39,8 @@
   const ArrivalForecast& arrival_forecast_;
   MachineReassignment& reassignment_;
   Consolidator consolidator_;
-  int shard_ = 0;  // whose turn it was last
-  double next_round_ = 0;
+  int shard_ = 0;          // shard of the last round
+  double next_round_ = 0;  // steady time in seconds
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/consolidator.h
+++ b/src/coordination/fleet/consolidator.h
@@ -1,6 +1,6 @@
-// Chooses machines whose work fits on the others of their shard, so that they can be emptied and
-// given back. Owns what was observed of the jobs' attempts, by which it tells tasks that have run
-// for a while. Used by the consolidation rounds of the cluster leader.
+// Selects machines whose work fits on the other machines of their shard, so that they can be
+// drained and released. Owns the samples of the jobs' attempt numbers, which show which tasks have
+// run for a while. Used by the consolidation rounds of the cluster leader.
 #pragma once
 #include <deque>
 #include <map>
@@ -15,11 +15,12 @@
 
 class CapacityPlanner;
 
-/// Services leave holes that nothing fills: the machine that pays least for itself is emptied, if
-/// what it holds, what waits and what is expected all fit on the others. A replica is away for the
-/// fraction of a second that its stop and start take; so only replicas that have run for a while
-/// are moved, off a few machines a shard at a time. Work that would be lost is left to its end,
-/// with nothing new beside it.
+/// Services leave free capacity that nothing uses. The consolidator drains the machine with the
+/// highest cost of unused capacity if its work, the waiting work and the forecast work all fit on
+/// the other machines. Moving a replica interrupts it for the fraction of a second that its stop
+/// and start take, so only replicas that have run for a while are moved, and only a few machines
+/// per shard are drained at a time. Work that cannot move runs to its end, and nothing new is
+/// placed beside it.
 class Consolidator {
  public:
   /// The arguments must outlive this object.
@@ -27,46 +28,47 @@
                const ImageCaches& images)
       : context_(context), state_cache_(state_cache), membership_(membership), images_(images) {}
 
-  void reset() { attempts_seen_.clear(); }
-  /// To be called before each choice: remembers how far each job's attempts have come.
-  void note_attempts();
-  /// Machines of the shard to be emptied now. `planned` is the plan with all its machines.
-  std::vector<std::string> machines_to_empty(int shard, const CapacityPlan& planned,
-                                             CapacityPlanner& planner);
+  void reset() { attempt_samples_.clear(); }
+  /// Records the latest attempt number of each job. Must be called before each selection.
+  void sample_attempts();
+  /// Returns the ids of the machines of the shard to drain now. `planned` is the plan with all of
+  /// the shard's machines.
+  std::vector<std::string> select_machines_to_drain(int shard, const CapacityPlan& planned,
+                                                    CapacityPlanner& planner);
 
  private:
-  struct Load {
+  struct MachineLoad {
     store::Resources used;
-    bool movable = true;
-    std::vector<const store::JobSpec*> moved;  // tasks that would go elsewhere
+    bool drainable = true;
+    std::vector<const store::JobSpec*> tasks_to_move;  // one entry per task
   };
-  struct AttemptsSeen {
-    double at = 0;
-    uint64_t attempts = 0;
+  struct AttemptSample {
+    double at = 0;          // steady time in seconds
+    uint64_t attempts = 0;  // latest attempt number of the job
   };
   struct MachineCounts {
     size_t present = 0;
-    size_t leaving = 0;  // of these: asked for by the cluster leader
+    size_t leaving = 0;  // present machines that the cluster leader has asked the shard to let go
   };
-  using Loads = std::map<std::string, Load>;  // by machine
+  using MachineLoads = std::map<std::string, MachineLoad>;  // by machine
 
   MachineCounts count_machines(int shard) const;
-  Loads loads_of(int shard) const;
-  bool settled(const store::JobRecord& job, const store::Placement& placement) const;
-  bool work_fits_elsewhere(const std::string& machine, int shard, const Loads& loads,
-                           const std::set<std::string>& emptied) const;
-  bool has_target(const store::JobSpec& spec, const std::string& from, int shard,
-                  const Loads& loads, const std::set<std::string>& emptied) const;
-  std::vector<std::string> candidates(int shard, const Loads& loads,
+  MachineLoads machine_loads(int shard) const;
+  bool has_run_for_a_while(const store::JobRecord& job, const store::Placement& placement) const;
+  bool work_fits_elsewhere(const std::string& machine, int shard, const MachineLoads& loads,
+                           const std::set<std::string>& drained) const;
+  bool has_destination(const store::JobSpec& spec, const std::string& from, int shard,
+                       const MachineLoads& loads, const std::set<std::string>& drained) const;
+  std::vector<std::string> candidates(int shard, const MachineLoads& loads,
                                       const CapacityPlan& planned) const;
 
   Context& context_;
   const store::StateCache& state_cache_;
   const Membership& membership_;
   const ImageCaches& images_;
-  // By job: how far its attempts had come, and when that was seen. A record tells only its last
-  // start.
-  std::map<std::string, std::deque<AttemptsSeen>> attempts_seen_;
+  // Samples by job, oldest first. They are needed because a job record has the time of the job's
+  // last start only, not one for each task.
+  std::map<std::string, std::deque<AttemptSample>> attempt_samples_;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/fair_share_reclaim.cpp
+++ b/src/coordination/fleet/fair_share_reclaim.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr int kMostOnTheirWay = 2;  // machines to one shard at a time
+constexpr int kMaxIncomingMachines = 2;  // machines moving to one shard at a time
 
 }  // namespace
 
@@ -24,8 +24,8 @@
       ++load.tasks;
       load.pinned |= !is_preemptible(job.spec, context_);
     }
-    // What waits counts, too: machines that still boot for work beyond the guarantee are the
-    // cheapest to give.
+    // Waiting tasks count as well: machines still booting for work beyond the guarantee are the
+    // cheapest to give up.
     if (job.status == JobStatus::open)
       used[job.spec.team].add(job.spec.per_task, job.spec.tasks - job.done.size());
   }
@@ -38,11 +38,12 @@
   for (const auto& team : context_.settings.teams)
     if (used[team.name].cpus > team.guarantee.cpus + store::Resources::kSlack ||
         used[team.name].gpus > team.guarantee.gpus + store::Resources::kSlack)
-      reclaimable.borrowers.insert(membership_.shard_of_team(team.name));
+      reclaimable.over_guarantee.insert(membership_.shard_of_team(team.name));
   return reclaimable;
 }
 
-std::map<int, int> FairShareReclaim::machines_on_their_way() const {
+// Counts the machines that are being moved to each shard.
+std::map<int, int> FairShareReclaim::incoming_machines() const {
   std::map<int, int> by_shard;
   for (const auto& [id, machine] : state_cache_.present_machines())
     if (machine->record.phase == MachinePhase::reassignment_requested &&
@@ -55,7 +56,7 @@
                                         ReclaimableCapacity& reclaimable) const {
   const auto* type = state_cache_.type(machine.type);
   if (!type || !machine.usable() || machine.shard == demand.shard ||
-      !reclaimable.borrowers.count(machine.shard) || reclaimable.reclaimed.count(machine.id))
+      !reclaimable.over_guarantee.count(machine.shard) || reclaimable.reclaimed.count(machine.id))
     return false;
   if (reclaimable.capacity[machine.shard] - type->size.cpus < reclaimable.guaranteed[machine.shard])
     return false;
@@ -84,23 +85,24 @@
 void FairShareReclaim::reclaim(const std::vector<UnmetDemand>& unmet) {
   if (unmet.empty() || !context_.operators.reclaim_guarantee) return;
   ReclaimableCapacity reclaimable = reclaimable_capacity();
-  // What is already on its way counts, and only a few go at a time: the next plan sees the effect.
-  std::map<int, int> on_their_way = machines_on_their_way();
-  // Looked for once: with thousands of jobs of a few shapes waiting, all machines were looked at
-  // for each of them.
-  std::set<std::pair<int, std::string>> without_machine;
+  // Only a few machines move to a shard at a time, including earlier requests, because the next
+  // plan sees their effect.
+  std::map<int, int> incoming = incoming_machines();
+  // Shapes for which the search found no machine. With thousands of waiting jobs of a few shapes, a
+  // search for each job examined every machine each time.
+  std::set<std::pair<int, std::string>> shapes_without_machine;
   for (const auto& demand : unmet) {
-    if (on_their_way[demand.shard] >= kMostOnTheirWay) continue;
+    if (incoming[demand.shard] >= kMaxIncomingMachines) continue;
     const auto shape =
         std::make_pair(demand.shard, placement_shape(demand.spec) + zones_shape(demand.zones));
-    if (without_machine.count(shape)) continue;
+    if (shapes_without_machine.count(shape)) continue;
     const MachineRecord* machine = machine_to_reclaim(demand, reclaimable);
     if (!machine) {
-      without_machine.insert(shape);
+      shapes_without_machine.insert(shape);
       continue;
     }
     reclaimable.reclaimed.insert(machine->id);
-    ++on_their_way[demand.shard];
+    ++incoming[demand.shard];
     context_.counters["guarantee_reclaims"]++;
     context_.info("machine_reassignment_requested machine=" + machine->id + " next_shard=" +
                   std::to_string(demand.shard) + " reason=guarantee team=" + demand.spec.team +
--- a/src/coordination/fleet/fair_share_reclaim.h
+++ b/src/coordination/fleet/fair_share_reclaim.h
@@ -1,8 +1,8 @@
-// Reclaims machines for teams within their guaranteed share: where nothing is free and nothing can
-// be provisioned, a shard whose teams run beyond their guarantees gives up machines that hold only
-// work that may be preempted. Invariant: no shard falls below the guarantees of its teams. An
-// exception to the design, which moves free machines only; cause and figures: docs/design.md. Run
-// by the cluster leader with each plan.
+// Reclaims machines for teams within their guaranteed share. If no machine is free and none can be
+// provisioned, a shard with a team beyond its guarantee gives up machines that hold only
+// preemptible work. Invariant: no shard falls below the guarantees of its teams. This is an
+// exception to the rule that only free machines move between shards; docs/design.md gives the
+// reason and figures. Run by the cluster leader with each plan.
 #pragma once
 #include <map>
 #include <set>
@@ -25,25 +25,26 @@
         membership_(membership),
         reassignment_(reassignment) {}
 
-  /// Asks for machines for the demand that a plan could not meet, if the operators allow it.
+  /// Requests machines of other shards for the unmet demand of a plan, if the operators' settings
+  /// allow it.
   void reclaim(const std::vector<UnmetDemand>& unmet);
 
  private:
-  /// What shards could give to teams within their guarantees.
+  /// What other shards can give up for teams within their guarantees.
   struct ReclaimableCapacity {
     struct Load {
       int tasks = 0;
-      bool pinned = false;  // holds work that may not be preempted
+      bool pinned = false;  // holds work that must not be preempted
     };
     std::map<std::string, Load> loads;  // by machine
     std::map<int, double> capacity;     // CPUs by shard
     std::map<int, double> guaranteed;   // CPUs by shard
-    std::set<int> borrowers;            // shards with a team beyond its guarantee
-    std::set<std::string> reclaimed;    // machines, in this round
+    std::set<int> over_guarantee;       // shards with a team beyond its guarantee
+    std::set<std::string> reclaimed;    // machines requested in this call
   };
 
   ReclaimableCapacity reclaimable_capacity() const;
-  std::map<int, int> machines_on_their_way() const;
+  std::map<int, int> incoming_machines() const;
   const store::MachineRecord* machine_to_reclaim(const UnmetDemand& demand,
                                                  ReclaimableCapacity& reclaimable) const;
   bool may_be_reclaimed(const store::MachineRecord& machine, const UnmetDemand& demand,
--- a/src/coordination/fleet/shard_capacity.cpp
+++ b/src/coordination/fleet/shard_capacity.cpp
@@ -19,11 +19,11 @@
     if (machine.shard == shard && !inputs.state_cache.machine(machine.id))
       add_machine(machine, load);
   add_requested(shard);
-  existing_ = slots_.size();
-  was_empty_.reserve(existing_);
-  for (Place place = 0; place < existing_; ++place) {
+  existing_slots_ = slots_.size();
+  was_empty_.reserve(existing_slots_);
+  for (Place place = 0; place < existing_slots_; ++place) {
     const Slot& slot = slots_.at(place);
-    ++slots_of_[{slot.type->name, *slot.zone}];
+    ++slots_by_type_and_zone_[{slot.type->name, *slot.zone}];
     was_empty_.push_back(slot.empty);
   }
 }
@@ -49,8 +49,8 @@
 }
 
 int ShardCapacity::count(const std::string& type, const std::string& zone) const {
-  const auto slots = slots_of_.find({type, zone});
-  return slots == slots_of_.end() ? 0 : slots->second;
+  const auto slots = slots_by_type_and_zone_.find({type, zone});
+  return slots == slots_by_type_and_zone_.end() ? 0 : slots->second;
 }
 
 std::optional<ShardCapacity::Place> ShardCapacity::add(const MachineKind& kind) {
@@ -59,11 +59,11 @@
   const auto zone = std::find(type->zones.begin(), type->zones.end(), kind.zone);
   if (zone == type->zones.end()) return std::nullopt;
   const Place place = slots_.add({"", type, &*zone, kind.spot, type->size, true});
-  ++slots_of_[{type->name, kind.zone}];
+  ++slots_by_type_and_zone_[{type->name, kind.zone}];
   return place;
 }
 
-bool ShardCapacity::any_may_take(const store::JobSpec& spec, Place from) const {
+bool ShardCapacity::any_slot_fits(const store::JobSpec& spec, Place from) const {
   for (Place place = from; place < slots_.size(); ++place) {
     const Slot& slot = slots_.at(place);
     if (spec.per_task.fits(slot.free) && kind_allowed(spec, slot.spot) &&
@@ -75,12 +75,12 @@
 
 void ShardCapacity::restore(const Checkpoint& checkpoint) {
   slots_.undo_to(checkpoint.changes);
-  slots_of_ = checkpoint.slots_of;
+  slots_by_type_and_zone_ = checkpoint.slots_by_type_and_zone;
 }
 
 std::vector<std::string> ShardCapacity::unused_machines() const {
   std::vector<std::string> unused;
-  for (Place place = 0; place < existing_; ++place) {
+  for (Place place = 0; place < existing_slots_; ++place) {
     const Slot& slot = slots_.at(place);
     if (was_empty_[place] && slot.empty && !slot.machine.empty() &&
         inputs_.state_cache.machine(slot.machine))
--- a/src/coordination/fleet/shard_capacity.h
+++ b/src/coordination/fleet/shard_capacity.h
@@ -1,6 +1,6 @@
-// The machines of one shard as a plan sees them: those that exist, those that are on their way, and
-// those that the plan adds. Owns the slots and their number by type and zone, which change
-// together. Used by the planner of a shard.
+// The machines of one shard during planning: existing ones, requested ones, and those that
+// the plan adds. Owns the slots and their counts by type and zone, which change together. Used by
+// the shard planner.
 #pragma once
 #include <map>
 #include <optional>
@@ -17,36 +17,37 @@
  public:
   using Place = SlotIndex::Place;
   using TypeAndZone = std::pair<std::string, std::string>;
-  /// What `restore` goes back to.
+  /// The state to which `restore` returns.
   struct Checkpoint {
-    size_t changes = 0;
-    std::map<TypeAndZone, int> slots_of;
+    size_t changes = 0;  // number of changes to the slots so far
+    std::map<TypeAndZone, int> slots_by_type_and_zone;
   };
 
-  /// Machines on record, provided but not recorded yet, and asked for. The arguments must outlive
-  /// this object.
+  /// Starts with the machines that have a record, those that are provided but not recorded yet, and
+  /// those requested from the cloud. The arguments must outlive this object.
   ShardCapacity(const PlanningInputs& inputs, int shard, const ShardLoad& load,
                 const ExcludedMachines& excluded);
 
-  /// Machines that exist or are on their way: the first slots.
-  size_t existing() const { return existing_; }
+  /// Number of slots of machines that exist or are requested. These slots come first.
+  size_t existing_slots() const { return existing_slots_; }
   size_t size() const { return slots_.size(); }
   const Slot& at(Place place) const { return slots_.at(place); }
-  /// Slots of this type and zone.
+  /// Returns the number of slots of this type and zone.
   int count(const std::string& type, const std::string& zone) const;
   std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
                                    const Fit& fit) {
     return slots_.select_slot(spec, placed, fit);
   }
   void take(Place place, const store::Resources& resources) { slots_.take(place, resources); }
-  /// Adds an empty machine. None: the type is not known or not offered in that zone.
+  /// Adds an empty machine. Returns nothing if the type is unknown or not offered in the zone.
   std::optional<Place> add(const MachineKind& kind);
-  /// May one of the slots from `from` on take a task of this job, zones apart?
-  bool any_may_take(const store::JobSpec& spec, Place from) const;
-  Checkpoint checkpoint() const { return {slots_.changes(), slots_of_}; }
-  /// Takes back what was added and taken since.
+  /// Returns whether a slot from number `from` on can take a task of this job. Ignores the job's
+  /// zone rules.
+  bool any_slot_fits(const store::JobSpec& spec, Place from) const;
+  Checkpoint checkpoint() const { return {slots_.changes(), slots_by_type_and_zone_}; }
+  /// Undoes all additions and placements since the checkpoint.
   void restore(const Checkpoint& checkpoint);
-  /// Machines on record that were empty and still are.
+  /// Returns the recorded machines that were empty before planning and still are.
   std::vector<std::string> unused_machines() const;
 
  private:
@@ -55,9 +56,9 @@
 
   const PlanningInputs& inputs_;
   SlotIndex slots_;
-  std::map<TypeAndZone, int> slots_of_;
-  size_t existing_ = 0;
-  std::vector<bool> was_empty_;  // of the existing slots
+  std::map<TypeAndZone, int> slots_by_type_and_zone_;
+  size_t existing_slots_ = 0;
+  std::vector<bool> was_empty_;  // for each existing slot, before planning
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/shard_load.cpp
+++ b/src/coordination/fleet/shard_load.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Gives the number of placed tasks that would have to go elsewhere.
+// Adds the job's placed tasks to `load`. Returns the number of tasks that have to move because
+// their machine is excluded.
 uint32_t count_placed(const PlanningInputs& inputs, const JobRecord& job,
                       const ExcludedMachines& excluded, ShardLoad& load) {
   uint32_t displaced = 0;
@@ -21,7 +22,7 @@
     }
     const auto* machine = inputs.state_cache.machine(placement.machine);
     auto& counts = load.placed_tasks[job.spec.job_class];
-    ++(machine && machine->record.spot ? counts.spot : counts.ordinary);
+    ++(machine && machine->record.spot ? counts.spot : counts.on_demand);
     load.used[placement.machine].add(job.spec.per_task);
     if (!is_preemptible(job.spec, inputs.context)) load.pinned.insert(placement.machine);
     load.used_by_team[job.spec.team].add(job.spec.per_task);
--- a/src/coordination/fleet/shard_load.h
+++ b/src/coordination/fleet/shard_load.h
@@ -1,5 +1,5 @@
-// What the jobs of one shard take and what they wait for, counted from the records in the state
-// cache at one moment. Plain data that the planner of a shard starts from.
+// The resources that the jobs of one shard use and the jobs that wait, counted from the records in
+// the state cache at one moment. Plain data from which the shard planner starts.
 #pragma once
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 namespace rushtrestle::coordination {
 
-/// What a plan is made from. All of it must outlive the plan.
+/// The inputs of a plan. The referenced objects must outlive the planner.
 struct PlanningInputs {
   Context& context;
   const store::StateCache& state_cache;
@@ -21,41 +21,42 @@
   const CloudOutlook& outlook;
 };
 
-/// Machines that a plan reckons without, by id.
+/// Ids of machines that a plan treats as absent.
 using ExcludedMachines = std::set<std::string>;
 
 struct ShardLoad {
-  /// Arrays make room as their tasks end. Those of best-effort teams make it for best-effort teams.
-  struct ArrayTurns {
+  /// Running array tasks, which free capacity as they end, and the waiting array tasks that can use
+  /// it. Capacity freed by best-effort teams is counted for best-effort teams only.
+  struct ArrayQueue {
     double running_tasks = 0;
-    double backlog = 0;  // tasks planned so far
+    double backlog = 0;  // waiting tasks planned so far
   };
   struct TaskCounts {
-    int ordinary = 0;
+    int on_demand = 0;
     int spot = 0;
   };
-  /// Jobs of teams with a guarantee, or of best-effort teams.
+  /// The jobs of all teams with a guarantee, or of all best-effort teams.
   struct Jobs {
     std::vector<const store::JobRecord*> waiting;  // by rank, then by age
-    ArrayTurns arrays;
+    ArrayQueue arrays;
   };
 
-  std::map<std::string, store::Resources> used;          // by machine
-  std::set<std::string> pinned;                          // machines with work not to be preempted
-  std::map<std::string, TaskCounts> placed_tasks;        // by class
-  std::map<std::string, store::Resources> used_by_team;  // planned tasks included
+  std::map<std::string, store::Resources> used;    // by machine
+  std::set<std::string> pinned;                    // machines with work that must not be preempted
+  std::map<std::string, TaskCounts> placed_tasks;  // by class
+  std::map<std::string, store::Resources> used_by_team;  // includes tasks placed by the plan
   Jobs guaranteed;
   Jobs best_effort;
-  double cpu_per_gpu = 0;  // most CPUs that a job takes beside each GPU
-  /// A job of a team with a guarantee waits, and its rank may not be preempted.
+  double cpu_per_gpu = 0;  // highest ratio of CPUs to GPUs among the jobs' tasks
+  /// Whether a job waits whose team has a guarantee and whose rank must not be preempted.
   bool unpreemptible_waiting = false;
 };
 
-/// Tasks of an open job that are neither done nor placed.
+/// Returns the number of tasks of an open job that are neither done nor placed.
 double missing_tasks(const store::JobRecord& job);
 
-/// The load of a shard as it would be without the excluded machines: tasks on them that can move
-/// wait again, the others are not counted.
+/// Counts the load of a shard as if the excluded machines did not exist. Tasks on them that can
+/// move count as waiting; their other tasks are not counted.
 ShardLoad count_shard_load(const PlanningInputs& inputs, int shard,
                            const ExcludedMachines& excluded);
 
--- a/src/coordination/fleet/shard_planner.cpp
+++ b/src/coordination/fleet/shard_planner.cpp
@@ -12,14 +12,16 @@
 
 namespace {
 
-// Tasks of one job in one plan: more machines than that come in steps.
-constexpr uint32_t kMostTasks = 400;
-// A machine is emptied only where twice the usual headroom stays for work that can't use spot
-// machines: else its like is provisioned again soon, and what a dead machine held finds no room.
-constexpr int kHeadroomTimesWithoutMachines = 2;
-// Time that a run is given before its due time, times its estimate.
-constexpr double kRunMargin = 1.3;
-constexpr double kZoneTurnCost = 0.001;  // share of the price, for each machine in the zone
+// Tasks of one job per plan. Larger jobs get their machines over several plans.
+constexpr uint32_t kMaxTasksPerJob = 400;
+// Factor on forecasts of work that cannot use spot machines, in plans without some machines: a
+// machine is drained only if twice the usual headroom remains. Otherwise a similar machine is soon
+// provisioned again, and the work of a failed machine finds no free capacity.
+constexpr int kDrainHeadroomFactor = 2;
+// Time reserved for a run before the job is due, as a multiple of the estimated run time.
+constexpr double kRunTimeFactor = 1.3;
+// Extra cost per machine of the type in the zone, as a share of the price.
+constexpr double kZoneBalancePenalty = 0.001;
 
 bool within(const store::Resources& used, const store::Resources& more,
             const store::Resources& limit) {
@@ -40,10 +42,10 @@
 
 void ShardPlanner::run() {
   auto expected = forecasts();
-  hold_headroom(expected);
+  reserve_headroom(expected);
   plan_waiting(load_.guaranteed.waiting);
-  plan_expected(std::move(expected));
-  // What the others leave, and of what is expected of them.
+  plan_forecast(std::move(expected));
+  // Best-effort work gets what the waiting and forecast work of teams with a guarantee leaves over.
   plan_waiting(load_.best_effort.waiting);
   for (auto& machine : capacity_.unused_machines()) plan_.unused.push_back(std::move(machine));
 }
@@ -62,13 +64,13 @@
   auto expected = inputs_.arrival_forecast.expected(shard_);
   if (!excluded_.empty())
     for (auto& forecast : expected)
-      if (!forecast.shape.spot) forecast.jobs *= kHeadroomTimesWithoutMachines;
+      if (!forecast.shape.spot) forecast.jobs *= kDrainHeadroomFactor;
   return expected;
 }
 
-// The same room is held here as the shard leader will hold, or what it turns away would find
-// nothing provisioned.
-void ShardPlanner::hold_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts) {
+// Reserves the same headroom as the shard leader will. Otherwise no machine would be provisioned
+// for the work that the shard leader keeps out of the headroom.
+void ShardPlanner::reserve_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts) {
   for (const auto& forecast : forecasts)
     keep_headroom_for(headroom_, forecast.shape,
                       forecast.jobs * static_cast<double>(forecast.shape.tasks));
@@ -80,8 +82,9 @@
   for (const auto* job : jobs) plan_job(*job);
 }
 
-// Headroom for what arrives while a machine boots; first for what can run in fewest places.
-void ShardPlanner::plan_expected(std::vector<ArrivalForecast::Forecast> forecasts) {
+// Plans headroom for the jobs that are expected to arrive while a machine boots. Tasks with the
+// most GPUs come first because they fit on the fewest machines.
+void ShardPlanner::plan_forecast(std::vector<ArrivalForecast::Forecast> forecasts) {
   headroom_ = {};
   std::stable_sort(forecasts.begin(), forecasts.end(), [](const auto& a, const auto& b) {
     return a.shape.per_task.gpus > b.shape.per_task.gpus;
@@ -95,21 +98,21 @@
     }
 }
 
-// Work that ends by itself makes room: what gets its turn in time on the machines that are there
-// needs no new ones.
-bool ShardPlanner::exceeds_array_turns(const JobRecord& job, uint32_t need,
-                                       ShardLoad::ArrayTurns& arrays) const {
+// Returns whether more array tasks wait than can run before the job is due on the capacity that
+// running array tasks free as they end. Tasks below that limit need no new machine.
+bool ShardPlanner::exceeds_array_throughput(const JobRecord& job, uint32_t need,
+                                            ShardLoad::ArrayQueue& arrays) const {
   const auto& spec = job.spec;
   const double left_s = due_after_s(spec, inputs_.context.settings) -
-                        (inputs_.context.wall - job.submitted) - kRunMargin * spec.estimate_s;
-  const double turns = arrays.running_tasks * std::max(0.0, left_s) / spec.estimate_s;
+                        (inputs_.context.wall - job.submitted) - kRunTimeFactor * spec.estimate_s;
+  const double completions = arrays.running_tasks * std::max(0.0, left_s) / spec.estimate_s;
   arrays.backlog += need;
-  return arrays.backlog > turns;
+  return arrays.backlog > completions;
 }
 
-// For best-effort teams that can wait, only spot machines are provisioned, and for none of them a
-// machine whose GPUs would stand idle: idle-time work on ordinary machines with GPUs cost forty
-// times what it costs on the cheapest ones.
+// For best-effort jobs that can wait, only spot machines are provisioned. No best-effort job
+// without GPUs gets a new machine with GPUs, because the GPUs would be idle. Low-priority work on
+// on-demand machines with GPUs cost forty times as much as on the cheapest ones.
 ShardPlanner::TaskRequest ShardPlanner::request_for(const JobRecord& job, uint32_t need) {
   const Context& context = inputs_.context;
   TaskRequest request{.spec = job.spec,
@@ -122,7 +125,7 @@
     request.spot_only |= request.idle_room_only;
   }
   if (job.spec.kind == JobKind::array && job.spec.estimate_s > 0)
-    request.may_provision = exceeds_array_turns(
+    request.may_provision = exceeds_array_throughput(
         job, need, best_effort ? load_.best_effort.arrays : load_.guaranteed.arrays);
   return request;
 }
@@ -136,7 +139,8 @@
     if (const auto* machine = inputs_.state_cache.machine(placement.machine))
       zones[machine->record.zone]++;
   }
-  const uint32_t need = std::min<uint32_t>(kMostTasks, job.spec.tasks - job.done.size() - placed);
+  const uint32_t need =
+      std::min<uint32_t>(kMaxTasksPerJob, job.spec.tasks - job.done.size() - placed);
   const TaskRequest request = request_for(job, need);
   if (job.spec.kind == JobKind::gang) {
     place_gang(request, zones, need);
@@ -154,29 +158,29 @@
          (request.may_provision_gpus ? "|g" : "") + (request.idle_room_only ? "|i" : "");
 }
 
-// The first task of a job. Where thousands of jobs of a few shapes found no room, each of them was
-// tried on every slot: only what was provisioned since the last of its shape can make a difference,
-// as other slots only lose room.
+// Places the first task of a job. After a failure, jobs of the same shape are tried only if a slot
+// added since then fits, because the other slots only lose free capacity. Without this, thousands
+// of waiting jobs of a few shapes were each tried on every slot.
 bool ShardPlanner::place_first_task(const TaskRequest& request, ZoneCounts& zones) {
   const auto& spec = request.spec;
   if (!within_quota(spec)) return false;
-  // What is held back for work with GPUs moves from slot to slot, and may let in later what it kept
-  // out.
+  // The headroom for work with GPUs moves between slots, so a slot that rejected a task may
+  // accept it later.
   const bool bound_by_headroom = headroom_.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
   if (bound_by_headroom) return place_task(request, zones);
   auto& failure = failures_[failure_key(request, zones)];
-  const bool tried = failure.slots_tried > 0 && !capacity_.any_may_take(spec, failure.slots_tried);
+  const bool tried = failure.slots_tried > 0 && !capacity_.any_slot_fits(spec, failure.slots_tried);
   if (!tried && place_task(request, zones)) {
     failure = {};
     return true;
   }
-  if (tried) note_unmet(request, zones);
+  if (tried) add_unmet_demand(request, zones);
   failure.slots_tried = capacity_.size();
   return false;
 }
 
-// All of them, or nothing is taken and nothing lacking.
-bool ShardPlanner::place_all(const TaskRequest& request, ZoneCounts zones, uint32_t tasks) {
+// Places all tasks, or restores the state and the shortages from before the call.
+bool ShardPlanner::place_all_or_none(const TaskRequest& request, ZoneCounts zones, uint32_t tasks) {
   const auto capacity_before = capacity_.checkpoint();
   const auto team_before = load_.used_by_team[request.spec.team];
   const auto shortages_before = plan_.shortages;
@@ -185,7 +189,7 @@
     if (place_task(request, zones)) continue;
     capacity_.restore(capacity_before);
     load_.used_by_team[request.spec.team] = team_before;
-    failures_.clear();  // room that they found taken is free again
+    failures_.clear();  // they were recorded with less free capacity
     plan_.shortages = shortages_before;
     plan_.best_effort_shortages = best_effort_before;
     return false;
@@ -193,11 +197,13 @@
   return true;
 }
 
-// A gang runs whole or not at all. The zone that is best for its first task may neither have nor
-// get room for the rest, and room that is held for a part of it serves nobody.
+// Places all tasks of a gang or none, because capacity held for a part of a gang is wasted. The
+// best zone for the first task may have no capacity for the others, so a gang that is bound to one
+// zone is then tried in each zone.
 void ShardPlanner::place_gang(const TaskRequest& request, const ZoneCounts& zones, uint32_t tasks) {
   const auto& spec = request.spec;
-  if (place_all(request, zones, tasks) || !spec.one_zone || spec.zone || !zones.empty()) return;
+  if (place_all_or_none(request, zones, tasks) || !spec.one_zone || spec.zone || !zones.empty())
+    return;
   store::JobSpec bound_to_zone = spec;
   for (const auto& zone : inputs_.context.settings.zones) {
     bound_to_zone.zone = zone;
@@ -207,11 +213,11 @@
                               .may_provision = request.may_provision,
                               .may_provision_gpus = request.may_provision_gpus,
                               .idle_room_only = request.idle_room_only};
-    if (place_all(in_zone, zones, tasks)) return;
+    if (place_all_or_none(in_zone, zones, tasks)) return;
   }
 }
 
-void ShardPlanner::note_unmet(const TaskRequest& request, const ZoneCounts& zones) {
+void ShardPlanner::add_unmet_demand(const TaskRequest& request, const ZoneCounts& zones) {
   const auto& spec = request.spec;
   if (request.urgent && !request.spot_only &&
       within(load_.used_by_team[spec.team], spec.per_task, team_settings(spec.team).guarantee))
@@ -222,14 +228,15 @@
   Fit fit;
   fit.cpu_per_gpu = load_.cpu_per_gpu;
   fit.reserve = headroom_;
-  // What is only expected must not hold an ordinary machine that it could do without.
+  // Forecast work that can use spot machines must not occupy an on-demand machine. The same
+  // holds for waiting work while work waits that must not be preempted.
   fit.spot_only = request.spot_only && (load_.unpreemptible_waiting || !request.urgent);
   fit.idle_room_only = request.idle_room_only;
   return fit;
 }
 
-// Work without GPUs takes what is beside them, then machines without, then what free GPUs would
-// need, and machines with GPUs only where nothing else is to be had.
+// Finds a slot or provisions a machine. Work without GPUs is tried in this order: CPUs that no free
+// GPU needs, a new machine without GPUs, CPUs that free GPUs need, a new machine with GPUs.
 std::optional<ShardCapacity::Place> ShardPlanner::find_place(const TaskRequest& request,
                                                              const ZoneCounts& zones) {
   const auto& spec = request.spec;
@@ -243,7 +250,7 @@
     if (!place && request.may_provision_gpus)
       place = provision_slot(request, zones, TypesForCpuWork::with_gpus);
   }
-  if (!place) note_unmet(request, zones);
+  if (!place) add_unmet_demand(request, zones);
   return place;
 }
 
@@ -271,9 +278,9 @@
     if (fitting <= 0 || (spec.per_task.gpus == 0 && (type.size.gpus > 0) != with_gpus)) continue;
     for (const auto& zone : type.zones) {
       if (!zone_allowed(spec, zone, zones)) continue;
-      // Zones take turns.
+      // The penalty spreads new machines over the zones.
       const double zone_factor =
-          1 + kZoneTurnCost * static_cast<double>(capacity_.count(type.name, zone));
+          1 + kZoneBalancePenalty * static_cast<double>(capacity_.count(type.name, zone));
       for (const bool spot : {false, true}) {
         if (!kind_allowed(spec, spot) || (request.spot_only && !spot)) continue;
         const MachineKind candidate{type.name, zone, spot};
@@ -294,11 +301,11 @@
   const auto kind = cheapest_kind(request, zones, types);
   if (!kind) return std::nullopt;
   const auto place = capacity_.add(*kind);
-  if (place) note_shortage(request, *kind);
+  if (place) add_shortage(request, *kind);
   return place;
 }
 
-void ShardPlanner::note_shortage(const TaskRequest& request, const MachineKind& kind) {
+void ShardPlanner::add_shortage(const TaskRequest& request, const MachineKind& kind) {
   auto& shortages = inputs_.context.is_best_effort(request.spec.team) ? plan_.best_effort_shortages
                                                                       : plan_.shortages;
   auto shortage = std::find_if(
@@ -312,7 +319,8 @@
 
 void ShardPlanner::log_load() const {
   store::Resources free;
-  for (size_t place = 0; place < capacity_.existing(); ++place) free.add(capacity_.at(place).free);
+  for (size_t place = 0; place < capacity_.existing_slots(); ++place)
+    free.add(capacity_.at(place).free);
   store::Resources waiting;
   std::map<std::string, int> waiting_tasks;  // by class
   for (const auto* jobs : {&load_.guaranteed, &load_.best_effort})
@@ -324,13 +332,13 @@
     return " " + name + "=" + std::to_string(static_cast<int>(value));
   };
   std::string text = "shard_planned" + field("shard", shard_) +
-                     field("machines", static_cast<double>(capacity_.existing())) +
+                     field("machines", static_cast<double>(capacity_.existing_slots())) +
                      field("free_cpus", free.cpus) + field("free_gpus", free.gpus) +
                      field("waiting_cpus", waiting.cpus) + field("waiting_gpus", waiting.gpus);
   for (const auto& [name, tasks] : waiting_tasks) text += field("waiting_tasks." + name, tasks);
   for (const auto& [name, tasks] : load_.placed_tasks)
-    text +=
-        field("placed_ordinary." + name, tasks.ordinary) + field("placed_spot." + name, tasks.spot);
+    text += field("placed_ordinary." + name, tasks.on_demand) +
+            field("placed_spot." + name, tasks.spot);
   inputs_.context.info(std::move(text));
 }
 
--- a/src/coordination/fleet/shard_planner.h
+++ b/src/coordination/fleet/shard_planner.h
@@ -1,6 +1,6 @@
-// The plan of one shard: gives room to each waiting and expected task, on the machines of the shard
-// or on ones to be provisioned, and notes what is lacking, unused and unmet. Owns the state of the
-// shard while it is planned; an object plans one shard once. Used by the capacity planner.
+// Plans the capacity of one shard: assigns each waiting and forecast task to a machine of the shard
+// or to one to be provisioned, and records shortages, unused machines and unmet demand. Owns the
+// state of the shard during planning; an object plans one shard once. Used by the capacity planner.
 #pragma once
 #include <map>
 #include <optional>
@@ -14,44 +14,45 @@
 
 class ShardPlanner {
  public:
-  /// Reckons without the `excluded` machines. The arguments must outlive this object.
+  /// Plans as if the `excluded` machines did not exist. The arguments must outlive this object.
   ShardPlanner(const PlanningInputs& inputs, int shard, const ExcludedMachines& excluded,
                CapacityPlan& plan);
 
-  /// Adds the plan of the shard to the plan.
+  /// Appends the shard's plan to the plan passed to the constructor.
   void run();
-  /// One log line: what is placed and what waits.
+  /// Logs one line with the free capacity and the placed and waiting tasks of the shard.
   void log_load() const;
 
  private:
-  /// How one task may be given room.
+  /// A task to place and the rules for placing it.
   struct TaskRequest {
     const store::JobSpec& spec;
-    bool urgent = false;  // waits; else expected
-    bool spot_only = false;
+    bool urgent = false;     // true for waiting work, false for forecast work
+    bool spot_only = false;  // only spot machines may be provisioned
     bool may_provision = true;
-    bool may_provision_gpus = true;  // machines with GPUs for work without
-    bool idle_room_only = false;
+    bool may_provision_gpus = true;  // work without GPUs may get a new machine with GPUs
+    bool idle_room_only = false;     // only spot slots and pinned slots, as in `Fit`
   };
-  /// Which types are looked at for work without GPUs.
+  /// Which machine types are considered for work without GPUs.
   enum class TypesForCpuWork { without_gpus, with_gpus };
-  /// A task for which there was neither room nor anything to provision.
+  /// The last failure to place a task of some shape on a slot or a new machine.
   struct Failure {
-    size_t slots_tried = 0;  // the first ones; they have lost room since, if anything
+    // Number of slots at that time. These slots can only have lost free capacity since. 0: none.
+    size_t slots_tried = 0;
   };
 
   std::vector<ArrivalForecast::Forecast> forecasts() const;
-  void hold_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts);
+  void reserve_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts);
   void plan_waiting(const std::vector<const store::JobRecord*>& jobs);
-  void plan_expected(std::vector<ArrivalForecast::Forecast> forecasts);
+  void plan_forecast(std::vector<ArrivalForecast::Forecast> forecasts);
   void plan_job(const store::JobRecord& job);
   TaskRequest request_for(const store::JobRecord& job, uint32_t need);
-  bool exceeds_array_turns(const store::JobRecord& job, uint32_t need,
-                           ShardLoad::ArrayTurns& arrays) const;
+  bool exceeds_array_throughput(const store::JobRecord& job, uint32_t need,
+                                ShardLoad::ArrayQueue& arrays) const;
 
   bool place_task(const TaskRequest& request, ZoneCounts& zones);
   bool place_first_task(const TaskRequest& request, ZoneCounts& zones);
-  bool place_all(const TaskRequest& request, ZoneCounts zones, uint32_t tasks);
+  bool place_all_or_none(const TaskRequest& request, ZoneCounts zones, uint32_t tasks);
   void place_gang(const TaskRequest& request, const ZoneCounts& zones, uint32_t tasks);
   Fit fit_for(const TaskRequest& request) const;
   std::optional<ShardCapacity::Place> find_place(const TaskRequest& request,
@@ -61,8 +62,8 @@
                                                      TypesForCpuWork types);
   std::optional<MachineKind> cheapest_kind(const TaskRequest& request, const ZoneCounts& zones,
                                            TypesForCpuWork types) const;
-  void note_shortage(const TaskRequest& request, const MachineKind& kind);
-  void note_unmet(const TaskRequest& request, const ZoneCounts& zones);
+  void add_shortage(const TaskRequest& request, const MachineKind& kind);
+  void add_unmet_demand(const TaskRequest& request, const ZoneCounts& zones);
   bool within_quota(const store::JobSpec& spec);
   const store::TeamSettings& team_settings(const std::string& team) const;
   std::string failure_key(const TaskRequest& request, const ZoneCounts& zones) const;
@@ -74,7 +75,7 @@
   ShardLoad load_;
   ShardCapacity capacity_;
   CapacityHeadroom headroom_;
-  std::map<std::string, Failure> failures_;  // by shape
+  std::map<std::string, Failure> failures_;  // by `failure_key`
 };
 
 }  // namespace rushtrestle::coordination
