--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -11,7 +11,7 @@
 
 namespace rushtrestle::coordination {
 
-/// The modules of a controller, wired together. Each batch goes through them in one fixed order.
+/// The modules of a controller and their connections. Each batch runs them in a fixed order.
 class Core::Modules : private store::StateCache::Listener {
  public:
   Modules(const store::Settings& settings, const store::OperatorSettings& operators,
@@ -49,8 +49,8 @@
   ShardController shard_controller_;
   ClusterLeader cluster_leader_;
   JobService job_service_;
-  double wakeup_at_ = 0;  // 0: not asked for yet
-  double handled_at_ = 0;
+  double wakeup_at_ = 0;   // requested wake-up, in steady seconds; 0: none yet
+  double handled_at_ = 0;  // last batch, in steady seconds
 };
 
 Core::Modules::Modules(const store::Settings& settings, const store::OperatorSettings& operators,
@@ -72,7 +72,7 @@
   membership_.on_shard_lost = [this](int shard) { shard_controller_.on_shard_lost(shard); };
 }
 
-// ---- changes of the state cache ----
+// ---- state cache events ----
 
 void Core::Modules::on_job_changed(const std::string& id) {
   arrival_forecast_.on_job_changed(id);
@@ -130,13 +130,14 @@
   shard_controller_.tick();
   cluster_leader_.tick();
   shard_controller_.work();
-  state_store_.tick();  // last: what the others want to write leaves in the same batch
+  state_store_.tick();  // last, so that writes of the other modules are sent in the same batch
   return std::exchange(context_.out, {});
 }
 
 // ---- the clock ----
 
-// A process that stood still, or gets too little processor time, comes late to what was due.
+// The lag is how much later than the requested wake-up a batch runs, because the process was paused
+// or gets too little processor time.
 void Core::Modules::measure_lag() {
   const double late = wakeup_at_ > 0 ? std::max(0.0, context_.now - wakeup_at_) : 0;
   const double halvings = (handled_at_ - context_.now) / context_.settings.heartbeat_interval_s;
@@ -144,8 +145,9 @@
   handled_at_ = context_.now;
 }
 
-// With a tick every eightieth of a heartbeat interval, two turns in five had nothing to do, and a
-// turn costs as much as a message.
+// Returns the time of the earliest timed work instead of a fixed period: with a tick every 1/80 of
+// a heartbeat interval, two batches in five had nothing to do, and a batch costs as much processor
+// time as a message.
 double Core::Modules::next_wakeup() {
   const double shortest_sleep = context_.settings.heartbeat_interval_s / 80;
   const double longest_sleep = context_.settings.heartbeat_interval_s / 4;
@@ -156,7 +158,7 @@
   return wakeup_at_;
 }
 
-// ---- what is told of this controller ----
+// ---- state reports ----
 
 PeerState Core::Modules::own_state() {
   PeerState state;
@@ -197,7 +199,7 @@
           {"counters", context_.counters}};
 }
 
-// ---- the public face ----
+// ---- public interface ----
 
 Core::Core(const store::Settings& settings, const store::OperatorSettings& operators,
            std::string incarnation, uint64_t seed, LogLine::Level log_level)
--- a/src/coordination/core.h
+++ b/src/coordination/core.h
@@ -1,5 +1,5 @@
-// The core of a controller: one owner of all state. Commands and a clock reading go in, effects
-// come out; no sockets, no clock of its own, one thread at a time. Programs that embed the
+// The core of a controller, which owns all of its state. It turns commands and clock readings into
+// effects, has no sockets and no clock of its own, and is not thread-safe. Programs that embed the
 // scheduler drive it as transport::ControllerServer does.
 #pragma once
 #include <deque>
@@ -14,18 +14,19 @@
 
 class Core {
  public:
-  /// `incarnation` names this run of the controller: no two runs of it may share one. `seed` is
-  /// that of all random numbers.
+  /// `incarnation` identifies this run of the controller and must be unique among its runs. `seed`
+  /// seeds all random numbers.
   Core(const store::Settings& settings, const store::OperatorSettings& operators,
        std::string incarnation, uint64_t seed, LogLine::Level log_level = LogLine::Level::error);
   ~Core();
   Core(const Core&) = delete;
   Core& operator=(const Core&) = delete;
 
-  /// Works off a batch of commands; the effects are to be carried out in order.
+  /// Executes a batch of commands, leaving `commands` empty. The caller has to carry out the
+  /// returned effects in order.
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock);
-  /// Steady time at which `handle` wants to be called again with a Tick, if no other command comes
-  /// before. To be asked after each call of `handle`.
+  /// Returns the steady time, in seconds, at which `handle` has to be called with a Tick if no
+  /// other command comes before. The caller has to ask for it after each call of `handle`.
   double next_wakeup();
 
  private:
--- a/src/coordination/jobs/admission.cpp
+++ b/src/coordination/jobs/admission.cpp
@@ -13,15 +13,16 @@
 namespace {
 
 constexpr double kRetryWhenDisconnectedS = 1;
-/// Share of the memory limit above which submissions are shed.
+/// Share of the process's memory limit above which submissions are shed.
 constexpr double kNearMemoryLimit = 0.85;
-/// A submission is admitted if its write is to leave within this share of the user's wait.
+/// A submission is admitted if its write is expected to be sent within this share of the time that
+/// the user waits.
 constexpr double kWriteShareOfUserWait = 0.5;
 
 }  // namespace
 
 AdmissionDecision Admission::decide(const JobSpec& spec) const {
-  // Without machine types nothing can be said of what can run.
+  // What can run is unknown until the machine types have been read.
   if (state_store_.disconnected() || state_cache_.types().empty())
     return {Verdict::retry_later, kRetryWhenDisconnectedS};
   if (state_cache_.knows_job(spec.id)) return {Verdict::known};
@@ -36,20 +37,20 @@
 bool Admission::sheds_queries() const { return context_.lag > context_.tunables.shed_polls_lag_s; }
 
 bool Admission::can_ever_run(const JobSpec& spec) const {
-  return within_quota(spec) && some_type_takes_a_task(spec);
+  return within_quota(spec) && some_type_fits_a_task(spec);
 }
 
 bool Admission::within_quota(const JobSpec& spec) const {
   const auto* team = context_.team(spec.team);
   if (!team) return false;
-  // The tasks of an array may run one after the other, those of other jobs run together.
+  // Tasks of an array may run one after another; tasks of other job kinds run at the same time.
   store::Resources need;
   need.add(spec.per_task, spec.kind == JobKind::array ? 1 : spec.tasks);
   return need.cpus <= team->quota.cpus + store::Resources::kSlack &&
          need.gpus <= team->quota.gpus + store::Resources::kSlack;
 }
 
-bool Admission::some_type_takes_a_task(const JobSpec& spec) const {
+bool Admission::some_type_fits_a_task(const JobSpec& spec) const {
   const auto& types = state_cache_.types();
   return std::any_of(types.begin(), types.end(), [&](const store::MachineType& type) {
     return type_allowed(spec, type.name) && spec.per_task.fits(type.size) &&
@@ -58,7 +59,7 @@
   });
 }
 
-// A process over its limit is killed, and with it all that it was about to do.
+// A process over its memory limit is killed, and its unfinished work is lost.
 bool Admission::near_memory_limit() const {
   return context_.load.memory_mb > context_.settings.memory_mb * kNearMemoryLimit;
 }
--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -47,7 +47,7 @@
   });
 }
 
-// A final state never changes, so even an old state cache tells it rightly.
+// A final state never changes, so it can be answered from a state cache that lags behind.
 bool JobService::answer_if_final(RequestId request, const std::string& id) {
   if (!has_final_state(id)) return false;
   answer_with_job(request, kOk, id);
@@ -64,7 +64,7 @@
   return state_cache_.finished_job(id) || (live && live->record.final_state());
 }
 
-void JobService::settle(RequestId request, int status) {
+void JobService::answer_pending(RequestId request, int status) {
   const auto node = pending_.extract(request);
   if (node.empty()) return;
   if (status == kUnavailable) {
@@ -88,7 +88,7 @@
       return refuse(request, decision.retry_after_s);
     case AdmissionDecision::Verdict::retry_later: return refuse(request, decision.retry_after_s);
     case AdmissionDecision::Verdict::known: return answer_if_known(request, id, kOk);
-    // A controller that lags must not refuse a job that another has accepted.
+    // A controller that lags behind must not refuse a job that another one has accepted.
     case AdmissionDecision::Verdict::can_never_run:
       return answer_if_known(request, id, kCanNeverRun);
     case AdmissionDecision::Verdict::admit: break;
@@ -123,14 +123,14 @@
 
 void JobService::on_submission_written(RequestId request, const std::string& id,
                                        WriteOutcome outcome) {
-  if (outcome == WriteOutcome::applied) return settle(request, kCreated);
-  // Known by now: accepted through another request of the same user.
+  if (outcome == WriteOutcome::applied) return answer_pending(request, kCreated);
+  // Another request of the same user submitted the job in the meantime.
   if (outcome != WriteOutcome::refused && state_cache_.knows_job(id)) {
     state_store_.wait_for_read_barrier(
-        [this, request](bool current) { settle(request, current ? kOk : kUnavailable); });
+        [this, request](bool current) { answer_pending(request, current ? kOk : kUnavailable); });
     return;
   }
-  settle(request, kUnavailable);
+  answer_pending(request, kUnavailable);
 }
 
 // ---- queries ----
@@ -138,8 +138,8 @@
 void JobService::query(const QueryJob& query) {
   context_.counters["polls"]++;
   if (answer_if_final(query.request, query.id)) return;
-  // Refused at once, as the answer would come too late. Not sooner: a job that nothing can be
-  // learnt of is forgotten.
+  // A query is refused only if its answer would come after the user has given up. Refusing more
+  // would be wrong: an accepted job that users can't query counts as forgotten.
   if (admission_.sheds_queries()) {
     context_.counters["polls_shed"]++;
     return refuse(query.request, kRetryAfterS + context_.lag);
@@ -190,11 +190,12 @@
   state_store_.write(std::move(write));
 }
 
-// A record that was stored under a larger limit can't be written again before enough of its tasks
-// have ended, and its user waited for that. The cancellation gets a key of its own, once every
-// controller reads such keys (RecordFormatMarker). It holds only while the record stands
-// as it was read, and the shard leader's writes of such a record hold only while there is no
-// cancellation beside it; so one of the two is first, for everybody.
+// A record that was stored under a larger size limit can't be written again until enough of its
+// tasks have ended, and cancellations had to wait for that. Once every controller reads
+// cancellation keys (RecordFormatMarker), the cancellation is written to a key of its own instead.
+// Its precondition is that the record is unchanged, and the shard leader writes an oversized record
+// only on the precondition that the cancellation key is absent; so all controllers see the same
+// order.
 void JobService::write_cancellation_beside_record(RequestId request) {
   const std::string id = pending_.at(request).id;
   WriteRequest write;
@@ -219,18 +220,19 @@
 void JobService::on_cancellation_written(RequestId request, const std::string& id,
                                          WriteOutcome outcome) {
   if (!pending_.count(request)) return;
-  if (has_final_state(id)) return settle(request, kOk);
-  const bool again = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
+  if (has_final_state(id)) return answer_pending(request, kOk);
+  const bool retry = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
                      outcome == WriteOutcome::skipped;
-  if (again && !state_store_.disconnected()) return write_cancellation(request);
-  settle(request, kUnavailable);
+  if (retry && !state_store_.disconnected()) return write_cancellation(request);
+  answer_pending(request, kUnavailable);
 }
 
 // ---- health and time ----
 
 bool JobService::healthy() const {
   if (!state_store_.synced()) return false;
-  // In an outage of all, answers (final states, refusals) are as good from here as from elsewhere.
+  // If all controllers are disconnected, this one can answer (final states, refusals) as well as
+  // any other.
   return state_store_.lease_valid() || membership_.outage_shared();
 }
 
@@ -244,7 +246,7 @@
   std::vector<RequestId> late;
   for (const auto& [request, pending] : pending_)
     if (context_.now >= pending.deadline || state_store_.disconnected()) late.push_back(request);
-  for (const RequestId request : late) settle(request, kUnavailable);
+  for (const RequestId request : late) answer_pending(request, kUnavailable);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/jobs/job_service.h
+++ b/src/coordination/jobs/job_service.h
@@ -1,14 +1,14 @@
-// JobService: what users ask of the scheduler, which is to submit, query and cancel jobs. Every
-// controller serves every user; the shard leader of the job's team takes over from the record.
+// JobService handles users' requests: submitting, querying and cancelling jobs. Every controller
+// serves every user; the shard leader of the job's team schedules the job from its record.
 //
-// It owns the requests whose write is under way (`pending_`), and nothing of a job: that is in the
-// state store, and as far as this controller has heard of it in the state cache.
+// It owns the requests whose write is in progress (`pending_`), and no job state: that is in the
+// state store, and cached in the state cache.
 //
 // Invariant: each request is answered once. An answer that depends on the newest state (a job is
 // known, is unknown, can never run) is given behind a read barrier; a final state never changes, so
-// it may be told from any state cache. A submission is acknowledged when its record is written.
+// it may be answered from any state cache. A submission is acknowledged when its record is written.
 //
-// Called by Core alone, from its single thread.
+// Only Core calls it, from its single thread.
 #pragma once
 #include <map>
 #include <optional>
@@ -21,7 +21,7 @@
 
 class JobService {
  public:
-  /// Keeps references to all four.
+  /// The arguments must outlive this object.
   JobService(Context& context, store::StateCache& state_cache, StateStoreClient& state_store,
              Membership& membership)
       : context_(context),
@@ -30,26 +30,27 @@
         membership_(membership),
         admission_(context, state_cache, state_store) {}
 
-  /// Accepts a job. Answers with 201 (written now), 200 (was known before), 422 (can never run) or
-  /// 503 (not now; the answer says when to try again).
+  /// Submits a job. Answers with 201 (newly written), 200 (already known), 422 (can never run) or
+  /// 503 (not accepted now; the answer says when to retry).
   void submit(SubmitJob&& submission);
-  /// Answers with the job's state (200), 404 (no such job) or 503.
+  /// Answers with the job's state (200), 404 (no such job) or 503 (retry later).
   void query(const QueryJob& query);
-  /// Cancels a job unless it has ended. Answers with its final state (200), 404 or 503.
+  /// Cancels a job unless it has ended. Answers with its final state (200), 404 (no such job) or
+  /// 503 (retry later).
   void cancel(const CancelJob& cancellation);
-  /// Whether users should send their requests to this controller.
+  /// Returns whether users should send their requests to this controller.
   bool healthy() const;
-  /// Answers the requests whose time is up, and all of them with 503 while disconnected.
+  /// Answers pending requests with 503: those past their deadlines, and all while disconnected.
   void tick();
-  /// When `tick` has something to do by the clock alone, in steady seconds.
+  /// Returns the earliest deadline of a pending request, in steady seconds.
   double next_due() const;
 
  private:
-  /// A request whose write is under way.
+  /// A request whose write is in progress.
   struct PendingRequest {
-    std::string id;  // of the job
-    double deadline = 0;
-    std::optional<store::JobSpec> spec;  // of a submission
+    std::string id;                      // job id
+    double deadline = 0;                 // steady seconds
+    std::optional<store::JobSpec> spec;  // set for submissions
   };
 
   void answer(RequestId request, int status);
@@ -65,7 +66,7 @@
   void write_cancellation_beside_record(RequestId request);
   void on_cancellation_written(RequestId request, const std::string& id, WriteOutcome outcome);
   /// Answers a pending request; does nothing if it has been answered.
-  void settle(RequestId request, int status);
+  void answer_pending(RequestId request, int status);
 
   Context& context_;
   store::StateCache& state_cache_;
--- a/src/coordination/runtime/call_ids.h
+++ b/src/coordination/runtime/call_ids.h
@@ -1,12 +1,12 @@
-// Numbers that tie an answer to its question.
+// Ids that match replies to their requests and calls.
 #pragma once
 #include <cstdint>
 
 namespace rushtrestle::coordination {
 
-/// Of a request that waits for this controller's answer.
+/// Id of an incoming request that this controller has to answer.
 using RequestId = uint64_t;
-/// Of a call that this controller sent.
+/// Id of an outgoing call that this controller sent.
 using CallId = uint64_t;
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/runtime/clock.h
+++ b/src/coordination/runtime/clock.h
@@ -1,18 +1,18 @@
-// The clock reading and the process's own load, which come into the core with each batch of
-// commands.
+// The clock reading and the process's own resource usage, which are passed to the core with each
+// batch of commands.
 #pragma once
 
 namespace rushtrestle::coordination {
 
-/// What the process knows of itself.
+/// Resource usage of this process.
 struct ProcessLoad {
-  double memory_mb = 0;  // in use; 0: unknown
-  double cpu_s = 0;      // processor time used
+  double memory_mb = 0;  // allocated; 0: unknown
+  double cpu_s = 0;      // processor time used since the start
 };
 
 struct Clock {
-  double steady = 0;  // seconds, from anywhere
-  double wall = 0;    // seconds, time of day
+  double steady = 0;  // seconds since an arbitrary origin
+  double wall = 0;    // seconds since the Unix epoch
   ProcessLoad load = {};
 };
 
--- a/src/coordination/runtime/cloud_messages.h
+++ b/src/coordination/runtime/cloud_messages.h
@@ -1,4 +1,4 @@
-// Calls to the cloud and its replies.
+// Calls to the cloud provider and its replies.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,6 +7,7 @@
 
 namespace rushtrestle::coordination {
 
+/// A machine as the cloud lists it.
 struct CloudMachine {
   std::string id;
   std::string address;
@@ -20,7 +21,8 @@
 // ---- calls ----
 
 struct ListMachineTypes {};
-/// At most once for each `request`, however often it is sent.
+/// Asks for `count` machines. `request` is an idempotency key: the cloud carries out each at most
+/// once, however often it is sent.
 struct ProvisionMachines {
   std::string request;
   std::string type;
@@ -31,7 +33,7 @@
 struct DeleteMachines {
   std::vector<std::string> machines;
 };
-/// A page of the list, from the machine after `after` on.
+/// Asks for a page of the machine list, starting behind the machine `after`; empty: at the start.
 struct ListMachines {
   std::string after;
 };
@@ -46,7 +48,7 @@
 };
 struct ListMachinesReply {
   std::vector<CloudMachine> machines;
-  bool more = false;
+  bool more = false;  // further pages follow
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/runtime/context.h
+++ b/src/coordination/runtime/context.h
@@ -1,4 +1,4 @@
-// What all parts of the core share: the clock reading, the settings, the way out.
+// State that all modules of the core share: the clock reading, the settings, outgoing effects.
 #pragma once
 #include <functional>
 #include <limits>
@@ -14,10 +14,10 @@
 
 namespace rushtrestle::coordination {
 
-/// A steady time before any that is told.
+/// A steady time, in seconds, that is earlier than any clock reading.
 constexpr double kLongAgo = -1e9;
 
-/// Of a module that waits for nothing but commands.
+/// Due time of a module that has no timed work.
 constexpr double kNoDueTime = std::numeric_limits<double>::infinity();
 
 class Context {
@@ -35,13 +35,13 @@
 
   const store::Settings settings;
   const store::OperatorSettings operators;
-  /// A team's settings; none for a name that the settings don't have.
+  /// Returns the team's settings, or null if the settings have no team of this name.
   const store::TeamSettings* team(const std::string& name) const {
     const auto it = teams_.find(name);
     return it == teams_.end() ? nullptr : &settings.teams[it->second];
   }
-  /// Best-effort teams have no guarantee: what they run is borrowed, and the others' expected work
-  /// goes before it.
+  /// Best-effort teams have no guarantee: their work runs on borrowed capacity, and the expected
+  /// work of other teams takes precedence over it.
   bool is_best_effort(const std::string& team_name) const {
     const auto* known = team(team_name);
     return known && !known->has_guarantee();
@@ -51,27 +51,30 @@
   std::mt19937_64 rng;
   double now = 0, wall = 0;
   ProcessLoad load;
-  double lag =
-      0;  // seconds by which batches are late; what it was falls to half in each report interval
-  std::vector<Effect> out;
+  /// Seconds by which batches run late. A past peak halves with each heartbeat interval.
+  double lag = 0;
+  std::vector<Effect> out;  // effects of the current batch
   std::map<std::string, uint64_t> counters;
   LogLine::Level log_level = LogLine::Level::info;
 
+  /// Emits a call; `handler` runs when its CallDone comes in.
   void call(CallBody body, double timeout_s, Handler handler) {
     const CallId id = ++last_call_;
     handlers_[id] = std::move(handler);
     out.push_back(Call{id, timeout_s, std::move(body)});
   }
+  /// Runs the handler of the call that is done.
   void returned(CallDone&& done) {
     auto node = handlers_.extract(done.call);
     if (!node.empty()) node.mapped()(std::move(done));
   }
-  /// Period of work that can wait: longer while batches are late, but never without an end.
+  /// Returns the period, in seconds, of deferrable work. Lag lengthens it, up to a limit.
   double housekeeping_every(double period_s) const {
-    constexpr double kLongerByLag = 8;
-    constexpr double kLongestTimes = 10;
-    return std::min(period_s + kLongerByLag * lag, period_s * kLongestTimes);
+    constexpr double kSecondsPerSecondOfLag = 8;
+    constexpr double kMaxFactor = 10;
+    return std::min(period_s + kSecondsPerSecondOfLag * lag, period_s * kMaxFactor);
   }
+  /// Returns a random duration within 25 % of `seconds`.
   double jitter(double seconds) {
     return seconds * std::uniform_real_distribution<>(0.75, 1.25)(rng);
   }
@@ -81,7 +84,8 @@
   }
   void info(std::string text) { log(LogLine::Level::info, std::move(text)); }
   void debug(std::string text) { log(LogLine::Level::debug, std::move(text)); }
-  /// Once per kind and lease: a failure that lasts must not flood the log.
+  /// Logs an error at most once per kind and worker lease, so that a lasting failure does not flood
+  /// the log.
   void log_rate_limited(const std::string& kind, const std::string& text) {
     auto& last = last_logged_[kind];
     if (last != 0 && now - last < settings.lease_s) return;
@@ -90,7 +94,7 @@
   }
 
  private:
-  std::unordered_map<std::string, size_t> teams_;  // places in the settings
+  std::unordered_map<std::string, size_t> teams_;  // index in settings.teams by name
   CallId last_call_ = 0;
   std::unordered_map<CallId, Handler> handlers_;
   std::map<std::string, double> last_logged_;
--- a/src/coordination/runtime/messages.h
+++ b/src/coordination/runtime/messages.h
@@ -1,6 +1,6 @@
-// All that goes into the core (commands) and comes out of it (effects), in plain types. The wire's
-// words are known to protocol alone. The order of the alternatives is part of the JSON form that
-// the tests share with earlier versions: new ones go to the end.
+// The core's inputs (commands) and outputs (effects) as plain types. Only `protocol` knows the
+// names on the wire. The order of the variants' alternatives is part of the JSON form that the
+// tests share with earlier versions, so new alternatives go to the end.
 #pragma once
 #include <string>
 #include <variant>
@@ -17,15 +17,15 @@
                            WatchReply, MachineTypesReply, ProvisionReply, ListMachinesReply,
                            Heartbeat, PeerState, HeartbeatResponse>;
 
-/// A call is over. Status 0: no answer, outcome unknown. A 2xx whose body can't be read counts as 0
-/// too.
+/// Reports the result of a call. Status 0: no reply came or a 2xx reply was unreadable, and the
+/// outcome is unknown.
 struct CallDone {
   CallId call = 0;
   int status = 0;
   Reply reply;
 };
 
-/// Nothing but the time has moved on.
+/// Runs the timed work of the core; carries nothing else.
 struct Tick {};
 
 using Command =
@@ -36,7 +36,7 @@
                               ListMachineTypes, ProvisionMachines, DeleteMachines, ListMachines,
                               PushCommands, SendPeerState, ForwardHeartbeat>;
 
-/// A request to another service; its CallDone comes in as a command.
+/// A request to another service. Its result comes back as the command CallDone.
 struct Call {
   CallId id = 0;
   double timeout_s = 0;
--- a/src/coordination/runtime/peer_messages.h
+++ b/src/coordination/runtime/peer_messages.h
@@ -1,4 +1,4 @@
-// What controllers tell each other.
+// Messages between controllers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -10,55 +10,56 @@
 
 namespace rushtrestle::coordination {
 
-/// A position in the list of cancellations that a controller's state cache holds.
+/// A position in the list of cancellations in a controller's state cache.
 struct CancellationPosition {
-  /// Of the controller whose list it is; a restarted one has a new list.
+  /// Incarnation of the controller that owns the list; a restarted controller has a new list.
   std::string incarnation;
-  uint64_t count = 0;
+  uint64_t count = 0;  // cancellations before this position
 };
 
-/// Cancellations that a controller's state cache holds, from the position `from` up to `mark`,
-/// without those that the asker's state cache covers.
+/// The cancellations in a controller's state cache from the position `from` up to `mark`, without
+/// those that the querying controller's state cache already covers.
 struct CancellationOffer {
   CancellationPosition mark;
   uint64_t from = 0;
-  /// Nothing is left after `mark`.
+  /// The list has no cancellations after `mark`.
   bool whole = false;
   std::vector<store::Cancellation> cancellations;
 };
 
-/// A controller's state, told to the others about once a second. What is optional, empty or 0 may
-/// be absent from controllers of earlier versions: the cautious answer follows.
+/// A controller's state, sent to its peers about once a second. Controllers of earlier versions may
+/// omit the fields that are optional, empty or 0; receivers then assume the safe case.
 struct PeerState {
   std::string node;
   std::string incarnation;
-  /// Its lease at the state store is in force.
+  /// The controller is connected to the state store and its lease there is in force.
   bool has_state_store = false;
-  /// Its state cache has been read whole.
+  /// The state cache has been listed completely.
   bool synced = false;
-  /// Records waiting to be written.
+  /// Number of writes that wait for nothing but the write budget.
   double backlog = 0;
-  /// Shards that it leads.
+  /// Shards that the controller leads.
   std::vector<int> shards;
-  /// Machines that sent it heartbeats lately; its own may be left out.
+  /// Machines whose heartbeats the controller received lately; those of its own shards may be left
+  /// out.
   std::vector<std::string> machines_heard;
-  /// Controllers that it heard lately.
+  /// Controllers that it heard from lately.
   std::vector<std::string> nodes;
-  /// Time of day when it was said.
+  /// Wall-clock time at which the state was taken, in seconds since the Unix epoch.
   double at = 0;
-  /// That its state cache has reached.
+  /// Revision of the state store that the state cache has reached.
   uint64_t revision = 0;
-  /// Since its state cache was last proven current; none: never.
+  /// Seconds since the state cache was last proven current; none: never.
   std::optional<double> current_age_s;
-  /// In a question: what the asker knows of the asked one's cancellations.
+  /// In queries: the position up to which the sender has the receiver's cancellations.
   std::optional<CancellationPosition> acknowledged;
-  /// In an answer.
+  /// In answers: cancellations that the querying controller may not know.
   std::optional<CancellationOffer> offered_cancellations;
-  /// Of its program, for operators.
+  /// Version of the controller's program, shown to operators.
   std::string version;
-  /// The newest that it reads.
+  /// Newest record format that the controller reads.
   uint64_t record_format = 0;
-  /// Of the write budget at the state store, as a share of the whole.
+  /// Need of the write budget at the state store, as a share of the whole budget.
   std::optional<double> budget_need;
 };
 
--- a/src/coordination/runtime/state_store_messages.h
+++ b/src/coordination/runtime/state_store_messages.h
@@ -1,4 +1,5 @@
-// Calls to the consensus-backed key-value store that holds the durable state, and its replies.
+// Calls to the state store, a consensus-backed key-value store with the durable state, and its
+// replies.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -11,19 +12,19 @@
 
 // ---- calls ----
 
-/// The key stands at this mod revision; 0: it is absent.
+/// Holds if the key has this mod revision; 0: if the key is absent.
 struct Precondition {
   std::string key;
   uint64_t mod_revision = 0;
 };
 struct Write {
   std::string key;
-  /// None: the key is deleted.
+  /// Value to store; none: deletes the key.
   std::optional<store::Json> value;
-  /// The key vanishes with this lease; 0: it stays.
+  /// Lease with which the key expires; 0: none.
   uint64_t lease = 0;
 };
-/// A compare-and-swap transaction: all writes are carried out if all preconditions hold, else none.
+/// A compare-and-swap transaction: applies all writes if all preconditions hold, otherwise none.
 struct Txn {
   std::vector<Precondition> preconditions;
   std::vector<Write> writes;
@@ -31,7 +32,8 @@
 struct ReadKey {
   std::string key;
 };
-/// A page of the keys with the prefix, from the key after `after` on.
+/// Asks for a page of the keys with the prefix, starting behind the key `after`; empty: at the
+/// start.
 struct ListKeys {
   std::string prefix;
   std::string after;
@@ -42,7 +44,8 @@
 struct RenewLease {
   uint64_t lease = 0;
 };
-/// Changes after the revision `since`; the answer waits up to `hold_s` seconds for one.
+/// Asks for the changes after the revision `since` (long poll). Without a change, the store answers
+/// after `hold_s` seconds.
 struct Watch {
   uint64_t since = 0;
   double hold_s = 0;
@@ -52,7 +55,7 @@
 
 struct TxnReply {
   uint64_t revision = 0;
-  /// Keys whose preconditions did not hold.
+  /// Keys whose preconditions did not hold; nothing was written then.
   std::vector<std::string> failed;
 };
 struct KeyReply {
@@ -61,7 +64,7 @@
 };
 struct ListKeysReply {
   std::vector<store::Change> entries;
-  bool more = false;
+  bool more = false;  // further pages follow
   uint64_t revision = 0;
 };
 struct LeaseReply {
--- a/src/coordination/runtime/token_bucket.h
+++ b/src/coordination/runtime/token_bucket.h
@@ -1,30 +1,33 @@
-// A token bucket: keeps calls to another service within its rate.
+// A token bucket that limits the rate of calls to another service.
 #pragma once
 #include <algorithm>
 
 namespace rushtrestle::coordination {
 
-/// Lets `rate` through per second, with a second's worth at once; may be overdrawn by one use.
+/// Refills at `rate` tokens per second and holds one second's worth, but at least one token. A
+/// `take` after `ready` may overdraw it.
 class TokenBucket {
  public:
   void set_rate(double rate) { rate_ = rate; }
   bool ready(double now) { return level(now) > 0; }
-  /// What is left of a second's worth, as a share of it; below 0: overdrawn.
+  /// Returns the tokens left as a share of the capacity; below 0: overdrawn. Times are in steady
+  /// seconds.
   double level(double now) {
     tokens_ = std::min(std::max(1.0, rate_), tokens_ + (now - last_) * rate_);
     last_ = now;
     return tokens_ / std::max(1.0, rate_);
   }
   void take(double amount) { tokens_ -= amount; }
-  /// When `level` will be above `floor`, if nothing is taken until then.
+  /// Returns the time at which `level` will be above `floor` if nothing is taken until then.
   double above_at(double floor, double now) {
     const double missing = floor * std::max(1.0, rate_) - level(now) * std::max(1.0, rate_);
-    return missing < 0 ? now : now + missing / std::max(kSlowest, rate_);
+    return missing < 0 ? now : now + missing / std::max(kMinRate, rate_);
   }
 
  private:
-  static constexpr double kSlowest =
-      1e-3;  // a rate of nothing gives a late time, not a division by zero
+  /// Lower bound of the rate in `above_at`, so that a rate of 0 gives a late time instead of a
+  /// division by zero.
+  static constexpr double kMinRate = 1e-3;
   double rate_ = 1, tokens_ = 1, last_ = 0;
 };
 
--- a/src/coordination/runtime/user_messages.h
+++ b/src/coordination/runtime/user_messages.h
@@ -1,4 +1,4 @@
-// Requests of users and of health checks, and the answers to them.
+// Requests from users, health checks and operators, and the answers to them.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -33,21 +33,21 @@
 
 // ---- effects ----
 
-/// What a user is told of a job.
+/// A job as it is shown to users.
 struct JobView {
   std::string id;
   store::JobStatus status = store::JobStatus::open;
-  /// Tasks.
-  uint32_t done = 0;
-  uint32_t running = 0;
+  uint32_t done = 0;     // tasks
+  uint32_t running = 0;  // tasks
 };
 struct AnswerUser {
   RequestId request = 0;
   int status = 503;
   std::optional<JobView> job;
-  /// Sent with 429 and 503.
+  /// Seconds after which the user should try again; sent with 429 and 503.
   double retry_after_s = 0;
 };
+/// Answers ShowStats.
 struct AnswerStats {
   RequestId request = 0;
   store::Json body;
--- a/src/coordination/runtime/version.h
+++ b/src/coordination/runtime/version.h
@@ -1,4 +1,4 @@
-// The version of this program.
+// The version of this program, as the build defines it (RUSHTRESTLE_VERSION).
 #pragma once
 
 namespace rushtrestle::coordination {
--- a/src/coordination/runtime/worker_messages.h
+++ b/src/coordination/runtime/worker_messages.h
@@ -1,4 +1,4 @@
-// What workers report, what they are told, and the commands that are sent to them.
+// Heartbeats of workers, the responses to them, and commands to workers.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -12,21 +12,22 @@
 enum class TaskState { fetching, running, saving, exited };
 enum class ExitCause { none, done, stopped, error, no_room, busy, unknown };
 
-/// A task as its worker has it.
+/// The state of a task as its worker reports it.
 struct ReportedTask {
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
   TaskState state = TaskState::fetching;
   ExitCause cause = ExitCause::none;
-  /// Its checkpoint is saved.
+  /// The task's checkpoint is saved.
   bool saved = false;
-  /// Fetched, and waits for the others of its gang; not told between controllers.
+  /// The task has its image and waits for the other tasks of its gang. Controllers omit this field
+  /// from forwarded heartbeats.
   bool gathering = false;
 };
 
-/// A worker's status. `agent_epoch` grows with each restart of the worker, `sequence` with each
-/// heartbeat; `fencing_token` is the highest that it has seen.
+/// A worker's status. `agent_epoch` increases with each restart of the worker, `sequence` with each
+/// heartbeat; `fencing_token` is the highest that the worker has seen.
 struct Heartbeat {
   std::string machine;
   std::string address;
@@ -36,7 +37,7 @@
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;
   uint64_t fencing_token = 0;
-  /// Seconds until the cloud takes the machine back.
+  /// Seconds until the cloud reclaims the machine; none: no notice was given.
   std::optional<double> notice_s;
   std::vector<ReportedTask> tasks;
 };
@@ -47,16 +48,16 @@
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  /// With `stop`: time to save.
+  /// With `stop`: time to save a checkpoint, in seconds.
   double grace_s = 0;
 };
 
-/// What the leader of a shard answers to a worker.
+/// The answer to a heartbeat.
 struct HeartbeatResponse {
   int status = 503;
   uint64_t fencing_token = 0;
   std::vector<WorkerCommand> commands;
-  /// With 421: the controller to go to; may be empty.
+  /// With 421: the controller to send heartbeats to; may be empty.
   std::string redirect;
 };
 
@@ -66,7 +67,7 @@
   RequestId request = 0;
   Heartbeat heartbeat;
 };
-/// A heartbeat that another controller got from a worker that can't reach this one.
+/// A heartbeat that another controller forwards because its worker can't reach this one.
 struct HandleForwardedHeartbeat {
   RequestId request = 0;
   Heartbeat heartbeat;
@@ -85,14 +86,15 @@
 
 // ---- calls ----
 
-/// Commands to a worker without waiting for its heartbeat; it answers with a Heartbeat.
+/// Sends commands to a worker without waiting for its heartbeat; the worker replies with a
+/// Heartbeat.
 struct PushCommands {
   std::string address;
   uint64_t fencing_token = 0;
   uint64_t agent_epoch = 0;
   std::vector<WorkerCommand> commands;
 };
-/// A heartbeat passed on to the leader of the worker's shard.
+/// Forwards a heartbeat to the leader of the worker's shard.
 struct ForwardHeartbeat {
   std::string address;
   Heartbeat heartbeat;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;
+/// Exit status for invalid settings or command line arguments.
+constexpr int kExitBadSettings = 2;
 
 rushtrestle::coordination::LogLine::Level log_level() {
   using Level = rushtrestle::coordination::LogLine::Level;
@@ -30,17 +31,15 @@
   CLI::App app{"Schedules jobs of language model fleets on rented machines"};
   std::string config, operators_file;
   bool check_only = false;
-  app.add_option("--config", config, "the platform's settings file (TOML)")->required();
-  app.add_option("--operator-settings", operators_file,
-                 "the operators' own settings (S-expressions)");
-  app.add_flag("--check-config", check_only,
-               "read the settings, say whether they are valid, and end");
+  app.add_option("--config", config, "platform settings file (TOML)")->required();
+  app.add_option("--operator-settings", operators_file, "operator settings file (S-expressions)");
+  app.add_flag("--check-config", check_only, "check the settings and exit");
   app.set_version_flag("--version",
                        std::string("rushtrestle ") + rushtrestle::coordination::program_version());
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadSettings;
+    return app.exit(e) == 0 ? 0 : kExitBadSettings;
   }
   try {
     using namespace rushtrestle;
@@ -71,12 +70,12 @@
     spdlog::set_default_logger(logger);
     std::signal(SIGPIPE, SIG_IGN);
     transport::EventLoop event_loop;
-    transport::ControllerServer node(event_loop, settings, operators, level);
+    transport::ControllerServer controller(event_loop, settings, operators, level);
     event_loop.run();
     return 0;
   } catch (const rushtrestle::protocol::SettingsError& e) {
     std::cerr << "rushtrestle: " << e.what() << "\n";
-    return kBadSettings;
+    return kExitBadSettings;
   } catch (const std::exception& e) {
     std::cerr << "rushtrestle: " << e.what() << "\n";
     return 1;
