--- a/bench/scale/cost_scaling.cpp
+++ b/bench/scale/cost_scaling.cpp
@@ -1,6 +1,6 @@
-// rushtrestle_cost_scaling: does one kind of work at one size, for the instruction counts of
-// callgrind, and measures memory. It is called for several sizes by bench/scale/cost_scaling.py,
-// which fits the slopes.
+// rushtrestle_cost_scaling: does one kind of work at one size while callgrind counts instructions,
+// or measures the memory that one kind of object takes. bench/scale/cost_scaling.py runs it for
+// several sizes and fits the slopes.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -30,16 +30,16 @@
   return static_cast<double>(info.uordblks + info.hblkhd);
 }
 
-struct NoListener : store::StateCache::Listener {
+struct NullListener : store::StateCache::Listener {
   void on_job_changed(const std::string&) override {}
   void on_machine_changed(const std::string&) override {}
   void on_lease_holder_changed(const std::string&) override {}
 };
 
-// ---- memory: bytes that `size` of something take ----
+// ---- memory: allocated bytes of `size` objects ----
 
 double model_bytes(int size, const std::function<store::Change(int)>& change) {
-  NoListener listener;
+  NullListener listener;
   store::StateCache state_cache(listener);
   const double before = allocated_bytes();
   for (int i = 0; i < size; ++i) state_cache.apply(change(i));
@@ -73,8 +73,8 @@
   return {store::machine_key(r.id), std::move(value), static_cast<uint64_t>(number) + 1};
 }
 
-/// What the holder of the part keeps beside the model: measured as a whole controller with so many
-/// live jobs or machines.
+/// Returns the bytes that a controller allocates at start, with its copy of the state, for so many
+/// live jobs, machines and teams; the state service's own records are not included.
 double controller_bytes(int jobs, int machines, int teams) {
   const double before = allocated_bytes();
   LocalController controller(teams);
@@ -89,16 +89,16 @@
   return allocated_bytes() - with_state;
 }
 
-// ---- work: instructions of `count` times, counted by callgrind between the toggles ----
+// ---- work: callgrind counts the instructions of `count` repetitions between the toggles ----
 
-void counted(int count, const std::function<void(int)>& work) {
-  work(0);  // the first one fills caches and maps
+void count_instructions(int count, const std::function<void(int)>& work) {
+  work(0);  // the first repetition fills caches and maps and is not counted
   CALLGRIND_TOGGLE_COLLECT;
   for (int i = 1; i <= count; ++i) work(i);
   CALLGRIND_TOGGLE_COLLECT;
 }
 
-void reports(int tasks, int count) {
+void measure_reports(int tasks, int count) {
   LocalController controller(kTeams);
   controller.add_machine(1);
   for (int i = 2; i * 6 < tasks + 12; ++i) controller.add_machine(i);
@@ -114,9 +114,9 @@
     r.placed.push_back({0, LocalController::machine_id(1), 1, true, false});
     controller.state().preset(store::job_key(r.spec.id), to_json(r));
   }
-  controller.pass(1);
+  controller.advance(1);
   report.fencing_token = controller.report_of(LocalController::machine_id(1)).fencing_token;
-  counted(count, [&](int i) {
+  count_instructions(count, [&](int i) {
     report.sequence = 1000 + static_cast<uint64_t>(i);
     auto decoded =
         protocol::decode_request(1, "POST", "/checkin", scale::encode_report(report), false);
@@ -124,17 +124,19 @@
   });
 }
 
-void report_encoding(int tasks, int count) {  // taken off `reports`: it is the worker's own
+/// The instruction count of the worker's own encoding, to be subtracted from that of
+/// `measure_reports`.
+void measure_report_encoding(int tasks, int count) {
   Heartbeat report;
   report.machine = report.address = report.type = report.zone = "n-000001";
   for (int i = 0; i < tasks; ++i)
     report.tasks.push_back(
         {"job-" + std::to_string(i), 0, 1, TaskState::running, ExitCause::none, false, false});
-  counted(count, [&](int) { scale::encode_report(report); });
+  count_instructions(count, [&](int) { scale::encode_report(report); });
 }
 
-void followed_changes(int placements, int count) {
-  NoListener listener;
+void measure_followed_changes(int placements, int count) {
+  NullListener listener;
   store::StateCache state_cache(listener);
   std::vector<std::string> bodies;
   for (int i = 0; i <= count; ++i)
@@ -143,23 +145,23 @@
         WatchReply{1,
                    {job_change(i, static_cast<uint32_t>(placements), store::JobStatus::open)}}}));
   const auto kind = CallBody(Watch{}).index();
-  counted(count, [&](int i) {
+  count_instructions(count, [&](int i) {
     const auto done = protocol::decode_reply(1, kind, "", 200, bodies[static_cast<size_t>(i)]);
     for (const auto& change : std::get<WatchReply>(done.reply).events) state_cache.apply(change);
   });
 }
 
-/// Jobs of so many tasks from submission to `done`, on machines with room for all.
-void job_lives(int tasks, int count) {
+/// Runs jobs of `tasks` tasks from submission to `done`, on machines with room for all tasks.
+void measure_job_lives(int tasks, int count) {
   LocalController controller(kTeams);
   for (int i = 0; i < 20; ++i) controller.add_machine(i);
   controller.start();
   const auto before = controller.state().counters();
-  counted(count, [&](int i) {
+  count_instructions(count, [&](int i) {
     controller.submit(local_job(i, static_cast<uint32_t>(tasks), kTeams));
-    controller.pass(0.5);
+    controller.advance(0.5);
     controller.finish_all_tasks();
-    controller.pass(0.5);
+    controller.advance(0.5);
   });
   const auto& after = controller.state().counters();
   std::cout << "puts " << static_cast<double>(after.puts - before.puts) / (count + 1)
@@ -169,35 +171,36 @@
             << "\n";
 }
 
-void polls(int live_jobs, int count) {
+void measure_polls(int live_jobs, int count) {
   LocalController controller(kTeams);
   for (int i = 0; i < live_jobs; ++i) {
     const auto c = job_change(i, 0, store::JobStatus::open);
     controller.state().preset(c.key, *c.value);
   }
   controller.start();
-  counted(count, [&](int i) {
+  count_instructions(count, [&](int i) {
     controller.handle(QueryJob{1, "job-" + std::to_string(i % live_jobs)});
   });
 }
 
-/// Seconds of a controller that holds everything and leads, with jobs that wait in vain and
-/// machines.
-void seconds(int waiting_jobs, int machines, int teams, int count) {
+/// Runs seconds of a controller that holds the only shard and leads, with machines and more
+/// waiting tasks than they hold.
+void measure_seconds(int waiting_jobs, int machines, int teams, int count) {
   LocalController controller(teams);
   for (int i = 0; i < machines; ++i) controller.add_machine(i);
   for (int i = 0; i < waiting_jobs; ++i) {
     store::JobRecord r;
     r.spec = local_job(i, 10, teams);
-    r.spec.per_task.cpus = 5.5 + 0.001 * (i % 16);  // sixteen placement classes, a machine each
+    r.spec.per_task.cpus =
+        5.5 + 0.001 * (i % 16);  // sixteen placement classes; a task fills a machine
     r.submitted = 1e9 + 1000;
     controller.state().preset(store::job_key(r.spec.id), to_json(r));
   }
   controller.start();
-  counted(count, [&](int) { controller.pass(1); });
+  count_instructions(count, [&](int) { controller.advance(1); });
 }
 
-/// Jobs of four shapes: services and arrays, with GPUs and without.
+/// Returns a job of one of four kinds: services and arrays, with and without GPUs.
 store::JobSpec mixed_job(int number, int teams) {
   store::JobSpec s = local_job(number, 8, teams);
   s.team = "team-" + std::to_string(number / 4 % teams);
@@ -216,9 +219,9 @@
   return s;
 }
 
-/// Seconds of a controller that holds everything and leads a fleet with room, while as many jobs as
-/// machines wait for the budget of writes.
-void fleet_seconds(int machines, int count) {
+/// Runs seconds of a controller that holds the only shard and leads a fleet with free capacity,
+/// while as many jobs as machines wait for the budget of writes.
+void measure_fleet_seconds(int machines, int count) {
   constexpr int kManyTeams = 740;
   constexpr double kWritesPerSecond = 100;
   LocalController controller(LocalController::Options{kManyTeams, true, kWritesPerSecond});
@@ -230,10 +233,10 @@
     controller.state().preset(store::job_key(r.spec.id), to_json(r));
   }
   controller.start();
-  counted(count, [&](int) { controller.pass(1); });
+  count_instructions(count, [&](int) { controller.advance(1); });
 }
 
-void start_up(int jobs, bool finished) {
+void measure_start_up(int jobs, bool finished) {
   LocalController controller(kTeams);
   for (int i = 0; i < jobs; ++i) {
     const auto c =
@@ -250,12 +253,12 @@
 int main(int argc, char** argv) {
   using store::JobStatus;
   using store::MachinePhase;
-  CLI::App app{"Does one kind of work at one size"};
+  CLI::App app{"Does one kind of work at one size, or measures the memory of that many objects"};
   std::string what;
   int size = 0, count = 10;
-  app.add_option("work", what, "which")->required();
-  app.add_option("size", size, "its size")->required();
-  app.add_option("--count", count, "how often")->capture_default_str();
+  app.add_option("work", what, "kind of work or object")->required();
+  app.add_option("size", size, "size of the work or number of objects")->required();
+  app.add_option("--count", count, "number of repetitions")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   const std::map<std::string, std::function<double()>> memory = {
       {"live-job",
@@ -276,17 +279,17 @@
       {"held-machine", [&] { return controller_bytes(0, size, kTeams); }},
       {"team", [&] { return controller_bytes(0, 0, size); }}};
   const std::map<std::string, std::function<void()>> work = {
-      {"report", [&] { reports(size, count); }},
-      {"report-encoding", [&] { report_encoding(size, count); }},
-      {"followed-change", [&] { followed_changes(size, count); }},
-      {"job-life", [&] { job_lives(size, count); }},
-      {"poll", [&] { polls(size, count); }},
-      {"second-by-waiting-jobs", [&] { seconds(size, 50, kTeams, count); }},
-      {"second-by-machines", [&] { seconds(50, size, kTeams, count); }},
-      {"second-by-fleet", [&] { fleet_seconds(size, count); }},
-      {"second-by-teams", [&] { seconds(50, 50, size, count); }},
-      {"start-up-live", [&] { start_up(size, false); }},
-      {"start-up-history", [&] { start_up(size, true); }}};
+      {"report", [&] { measure_reports(size, count); }},
+      {"report-encoding", [&] { measure_report_encoding(size, count); }},
+      {"followed-change", [&] { measure_followed_changes(size, count); }},
+      {"job-life", [&] { measure_job_lives(size, count); }},
+      {"poll", [&] { measure_polls(size, count); }},
+      {"second-by-waiting-jobs", [&] { measure_seconds(size, 50, kTeams, count); }},
+      {"second-by-machines", [&] { measure_seconds(50, size, kTeams, count); }},
+      {"second-by-fleet", [&] { measure_fleet_seconds(size, count); }},
+      {"second-by-teams", [&] { measure_seconds(50, 50, size, count); }},
+      {"start-up-live", [&] { measure_start_up(size, false); }},
+      {"start-up-history", [&] { measure_start_up(size, true); }}};
   if (const auto m = memory.find(what); m != memory.end()) {
     std::cout << "bytes " << static_cast<long>(m->second()) << "\n";
   } else if (const auto w = work.find(what); w != work.end()) {
--- a/bench/scale/cost_scaling.py
+++ b/bench/scale/cost_scaling.py
@@ -1,8 +1,9 @@
 #!/usr/bin/env python3
-"""Measures how work and memory grow with size, and prints a table of fitted slopes.
+"""Measures how instructions and memory grow with size, and prints a table of fitted slopes.
 
-Instructions are counted by callgrind, bytes by the allocator. Each row: figure = fixed + slope * size, by least squares
-over the sizes named, with the largest residual in percent of the measured figure.
+Callgrind counts the instructions, the allocator the bytes. Each row fits
+measured = fixed + slope * size by least squares over the listed sizes; the largest residual is in
+percent of the measured value.
 
     cost_scaling.py build/scale/rushtrestle_cost_scaling
 """
@@ -33,11 +34,12 @@
         ["valgrind", "--tool=callgrind", "--collect-atstart=no", "--callgrind-out-file=/dev/null"] + command,
         capture_output=True, text=True, check=True)
     collected = int(re.search(r"Collected : (\d+)", out.stderr).group(1))
-    times = 1 if name.startswith("start-up") else COUNT
-    return collected / times, out.stdout.strip()
+    repetitions = 1 if name.startswith("start-up") else COUNT
+    return collected / repetitions, out.stdout.strip()
 
 
 def fit(points):
+    """Fits a line by least squares; returns intercept, slope and largest relative residual."""
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
@@ -48,10 +50,10 @@
 
 
 def main():
-    jobs = [("bytes", n, s) for n, sizes in MEMORY.items() for s in sizes]
-    jobs += [("instructions", n, s) for n, sizes in WORK.items() for s in sizes]
+    measurements = [("bytes", n, s) for n, sizes in MEMORY.items() for s in sizes]
+    measurements += [("instructions", n, s) for n, sizes in WORK.items() for s in sizes]
     with concurrent.futures.ThreadPoolExecutor(max_workers=6) as pool:
-        results = dict(zip(jobs, pool.map(lambda j: measure(*j), jobs)))
+        results = dict(zip(measurements, pool.map(lambda m: measure(*m), measurements)))
     print("| what | unit | sizes | measured | fixed | slope | largest residual |\n| --- | --- | --- | --- | --- | --- | --- |")
     notes = []
     for kind, table in (("bytes", MEMORY), ("instructions", WORK)):
--- a/bench/scale/experiment.cpp
+++ b/bench/scale/experiment.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 template <class Value, size_t N>
-Value one_of(const TomlTable& table, const char* key,
-             const std::array<std::pair<const char*, Value>, N>& words) {
+Value parse_enum(const TomlTable& table, const char* key,
+                 const std::array<std::pair<const char*, Value>, N>& words) {
   const std::string text = table.text(key);
   std::string allowed;
   for (const auto& [word, value] : words) {
@@ -25,7 +25,7 @@
   throw SettingsError(table.full(key) + ": must be one of " + allowed);
 }
 
-double share(const TomlTable& table, const char* key, double fallback) {
+double read_share(const TomlTable& table, const char* key, double fallback) {
   const double value = table.has(key) ? table.number(key, 0) : fallback;
   if (value > 1) throw SettingsError(table.full(key) + ": must be at most 1");
   return value;
@@ -39,28 +39,28 @@
   using store::JobKind;
   using store::Rank;
   JobClass c;
-  c.shape.job_class = t.text("name");
-  c.shape.kind =
-      one_of<JobKind, 2>(t, "sort", {{{"array", JobKind::array}, {"service", JobKind::service}}});
-  c.shape.rank = one_of<Rank, 4>(t, "rank",
-                                 {{{"idle", Rank::low},
-                                   {"normal", Rank::normal},
-                                   {"urgent", Rank::high},
-                                   {"prod", Rank::production}}});
-  c.shape.per_task = {t.positive("cpus"), t.number_or("gpus", 0), t.positive("memory_gb")};
-  c.shape.image_gb = t.number_or("image_gb", 0);
-  c.shape.spread = t.flag_or("spread", false);
+  c.job_template.job_class = t.text("name");
+  c.job_template.kind = parse_enum<JobKind, 2>(
+      t, "sort", {{{"array", JobKind::array}, {"service", JobKind::service}}});
+  c.job_template.rank = parse_enum<Rank, 4>(t, "rank",
+                                            {{{"idle", Rank::low},
+                                              {"normal", Rank::normal},
+                                              {"urgent", Rank::high},
+                                              {"prod", Rank::production}}});
+  c.job_template.per_task = {t.positive("cpus"), t.number_or("gpus", 0), t.positive("memory_gb")};
+  c.job_template.image_gb = t.number_or("image_gb", 0);
+  c.job_template.spread = t.flag_or("spread", false);
   c.images = std::max(1, count_or(t, "images", 1));
   c.least_tasks = t.whole_number("least_tasks", 1);
   c.most_tasks = t.whole_number("most_tasks", c.least_tasks);
   c.run_s = t.positive("run_s");
-  if (c.shape.kind == JobKind::array) c.shape.estimate_s = c.run_s;
-  if (t.has("due_s")) c.shape.deadline_s = t.positive("due_s");
-  c.shape.checkpoint_s = t.number_or("checkpoint_s", 0);
-  c.shape.save_s = t.number_or("save_s", 0);
+  if (c.job_template.kind == JobKind::array) c.job_template.estimate_s = c.run_s;
+  if (t.has("due_s")) c.job_template.deadline_s = t.positive("due_s");
+  c.job_template.checkpoint_s = t.number_or("checkpoint_s", 0);
+  c.job_template.save_s = t.number_or("save_s", 0);
   c.per_second = t.number_or("per_second", 0);
   c.at_start = count_or(t, "at_start", 0);
-  c.cancelled_share = share(t, "cancelled_share", 0);
+  c.cancelled_share = read_share(t, "cancelled_share", 0);
   return c;
 }
 
@@ -81,18 +81,18 @@
   return pool;
 }
 
-Trouble read_trouble(const TomlTable& t) {
-  Trouble trouble;
-  trouble.kind = one_of<TroubleKind, 4>(t, "kind",
-                                        {{{"kill_workers", TroubleKind::kill_workers},
-                                          {"cut_workers", TroubleKind::cut_workers},
-                                          {"restart_workers", TroubleKind::restart_workers},
-                                          {"kill_controllers", TroubleKind::kill_controllers}}});
-  trouble.at_s = t.positive("at_s");
-  trouble.for_s = t.number_or("for_s", 0);
-  trouble.share = share(t, "share", 1);
-  if (t.has("zone")) trouble.zone = t.text("zone");
-  return trouble;
+Fault read_fault(const TomlTable& t) {
+  Fault fault;
+  fault.kind = parse_enum<FaultKind, 4>(t, "kind",
+                                        {{{"kill_workers", FaultKind::kill_workers},
+                                          {"cut_workers", FaultKind::cut_workers},
+                                          {"restart_workers", FaultKind::restart_workers},
+                                          {"kill_controllers", FaultKind::kill_controllers}}});
+  fault.at_s = t.positive("at_s");
+  fault.for_s = t.number_or("for_s", 0);
+  fault.share = read_share(t, "share", 1);
+  if (t.has("zone")) fault.zone = t.text("zone");
+  return fault;
 }
 
 }  // namespace
@@ -103,8 +103,8 @@
   Experiment e;
   e.name = root.text("name");
   e.seconds = root.positive("seconds");
-  constexpr double kLongestSeconds = 1200;
-  if (e.seconds > kLongestSeconds) throw SettingsError("seconds: must be at most 1200");
+  constexpr double kMaxSeconds = 1200;
+  if (e.seconds > kMaxSeconds) throw SettingsError("seconds: must be at most 1200");
   e.seed = static_cast<uint64_t>(count_or(root, "seed", 1));
   auto& p = e.platform;
   const TomlTable controllers = root.sub("controllers");
@@ -133,11 +133,11 @@
   e.team_cpus_max = teams.positive("cpus_max");
   const TomlTable users = root.sub("users");
   e.unknown_polls_per_second = users.number_or("unknown_polls_per_second", 0);
-  e.repeat_share = share(users, "repeat_share", 0);
-  e.followed_ends_share = share(users, "followed_ends_share", 0);
+  e.repeat_share = read_share(users, "repeat_share", 0);
+  e.followed_ends_share = read_share(users, "followed_ends_share", 0);
   for (const auto& t : root.list("machines")) e.pools.push_back(read_pool(t, p.zones));
   for (const auto& t : root.list("classes")) e.classes.push_back(read_class(t));
-  for (const auto& t : root.list("troubles")) e.troubles.push_back(read_trouble(t));
+  for (const auto& t : root.list("troubles")) e.faults.push_back(read_fault(t));
   if (e.pools.empty()) throw SettingsError("machines: none listed");
   if (e.classes.empty()) throw SettingsError("classes: none listed");
   return e;
--- a/bench/scale/experiment.h
+++ b/bench/scale/experiment.h
@@ -1,4 +1,4 @@
-// What is played: read from a TOML file (docs/scale-run.md lists the fields).
+// An experiment, read from a TOML file; docs/scale-run.md lists the fields.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -9,53 +9,55 @@
 
 namespace rushtrestle::scale {
 
-/// Jobs of one kind. Teams are drawn evenly.
+/// A class of similar jobs. The team of each job is drawn uniformly.
 struct JobClass {
-  store::JobSpec shape;  // id, team and image are drawn for each job
-  int images = 1;        // different images of the class
+  store::JobSpec job_template;  // id, team and image are drawn for each job
+  int images = 1;               // number of different images of the class
   int least_tasks = 1, most_tasks = 1;
-  double run_s = 0;       // of a task, times 0.5 to 1.5; services: until the user cancels
-  double per_second = 0;  // arrivals
-  int at_start = 0;
-  double cancelled_share = 0;  // of arrays, by their users, at some time within `run_s`
+  // A task of an array runs 0.5 to 1.5 times `run_s` seconds; a service runs until its user
+  // cancels it, 0.5 to 1.5 times `run_s` after its submission.
+  double run_s = 0;
+  double per_second = 0;       // submissions, as a Poisson process
+  int at_start = 0;            // jobs that are submitted at the start
+  double cancelled_share = 0;  // share of arrays that their users cancel as they do services
 };
 
-enum class TroubleKind { kill_workers, cut_workers, restart_workers, kill_controllers };
+enum class FaultKind { kill_workers, cut_workers, restart_workers, kill_controllers };
 
-struct Trouble {
-  TroubleKind kind = TroubleKind::kill_workers;
-  double at_s = 0, for_s = 0;
-  double share = 1;  // of those in the zone, or of all
-  std::string zone;  // empty: any
+struct Fault {
+  FaultKind kind = FaultKind::kill_workers;
+  double at_s = 0, for_s = 0;  // start and duration in seconds
+  double share = 1;            // of the workers in the zone, or of all workers or controllers
+  std::string zone;            // empty: all zones
 };
 
 struct MachinePool {
   store::MachineType type;
-  int capacity = 0;     // a zone
-  int up_at_start = 0;  // in all zones together
+  int capacity = 0;     // machines per zone
+  int up_at_start = 0;  // machines in all zones together
 };
 
 struct Experiment {
   std::string name;
   double seconds = 0;
   uint64_t seed = 1;
-  store::Settings platform;  // as the controllers are told, but for node, addresses and peers
+  store::Settings platform;  // of every controller, except node, addresses and peers
   double state_latency_s = 0;
-  int finished_jobs = 0;  // records that the state service has from the start
+  int finished_jobs = 0;  // records that the state service holds from the start
   int team_count = 1;
   double team_cpus = 0, team_cpus_max = 0;
   std::vector<MachinePool> pools;
   std::vector<JobClass> classes;
-  std::vector<Trouble> troubles;
-  double unknown_polls_per_second = 0;  // for jobs that nobody has submitted
-  double repeat_share = 0;              // of accepted submissions that are sent again
-  double followed_ends_share = 0;       // of jobs whose end is looked for every quarter second
+  std::vector<Fault> faults;
+  double unknown_polls_per_second = 0;  // for jobs that were never submitted
+  double repeat_share = 0;              // share of accepted submissions that are sent again
+  double followed_ends_share = 0;       // share of arrays polled every 0.25 s after their last task
 };
 
-/// Throws protocol::SettingsError that names the field.
+/// Reads an experiment. Throws protocol::SettingsError that names the faulty field.
 Experiment read_experiment(const std::string& path);
 
-/// The settings file of controller `index`, in the platform's form.
+/// Returns the text of the settings file of controller `index`.
 std::string controller_settings(const Experiment& experiment, int index);
 
 std::string controller_name(int index);
--- a/bench/scale/fleet.h
+++ b/bench/scale/fleet.h
@@ -1,4 +1,4 @@
-// The stand-in of the cloud, with the machines that it has rented out.
+// The simulated cloud provider and the machines that it has rented out.
 #pragma once
 #include <map>
 #include <memory>
@@ -11,37 +11,38 @@
 
 class Fleet {
  public:
-  Fleet(WorkerSurroundings surroundings);
+  Fleet(WorkerContext context);
 
-  /// Stops, cuts off or restarts a share of the workers that are up, of one zone or of all.
-  void trouble(const Trouble& trouble);
+  /// Stops, disconnects or restarts a random share of the workers that are up, in one zone or all.
+  void inject_fault(const Fault& fault);
 
   size_t up() const;
   size_t most_up() const { return most_up_; }
-  /// Of all workers together, those that are gone included.
+  /// Returns the traffic of all workers together, including those of deleted machines.
   WorkerTraffic traffic() const;
-  /// Machine seconds that all workers were up.
+  /// Returns the total seconds from boot to deletion, or to now, of all machines.
   double seconds_up() const;
 
  private:
-  struct Rented {
+  struct RentedMachine {
     std::unique_ptr<HollowWorker> worker;
     double since = 0, up_at = 0, gone_at = -1;
-    bool gone = false;  // deleted; kept, as timers and sockets of it may be under way
+    bool gone = false;  // deleted; kept because its timers and sockets may still be active
   };
   void serve(transport::ExchangeId exchange, const transport::HttpMessage& message);
-  store::Json flavors() const;
-  store::Json list(const std::string& target) const;
-  std::vector<std::string> rent(const store::Json& request);
-  void remove(const store::Json& request);
-  std::string add(const MachinePool& pool, const std::string& zone, bool spot, double boot_s);
+  store::Json machine_types() const;
+  store::Json list_machines(const std::string& target) const;
+  std::vector<std::string> rent_machines(const store::Json& request);
+  void delete_machines(const store::Json& request);
+  std::string add_machine(const MachinePool& pool, const std::string& zone, bool spot,
+                          double boot_s);
   int in_use(const std::string& type, const std::string& zone) const;
 
-  WorkerSurroundings at_;
-  std::map<std::string, Rented> machines_;  // by name, which is the order of creation
-  std::map<std::string, std::vector<std::string>> granted_;  // by request name
+  WorkerContext context_;
+  std::map<std::string, RentedMachine> machines_;  // by name, which sorts in order of creation
+  std::map<std::string, std::vector<std::string>> granted_;  // machine names by request name
   size_t most_up_ = 0;
-  coordination::TokenBucket rate_;
+  coordination::TokenBucket rate_limiter_;
   transport::HttpServer server_;
 };
 
--- a/bench/scale/jobs.cpp
+++ b/bench/scale/jobs.cpp
@@ -9,7 +9,7 @@
 }
 }  // namespace
 
-Job& JobBook::add(store::JobSpec spec, std::vector<double> run_s, double now) {
+Job& JobTracker::add(store::JobSpec spec, std::vector<double> run_s, double now) {
   Job& job = jobs_[spec.id];
   job.submitted_at = now;
   job.saved.assign(spec.tasks, 0);
@@ -20,41 +20,41 @@
   return job;
 }
 
-Job* JobBook::find(const std::string& id) {
+Job* JobTracker::find(const std::string& id) {
   const auto it = jobs_.find(id);
   return it == jobs_.end() ? nullptr : &it->second;
 }
 
-void JobBook::violated(const std::string& rule, const std::string& what) {
+void JobTracker::add_violation(const std::string& rule, const std::string& what) {
   violations.push_back(rule + ": " + what);
 }
 
-void JobBook::check_place(const Job& job, const StartPlace& place) {
+void JobTracker::check_location(const Job& job, const StartLocation& place) {
   const auto& spec = job.spec;
   const bool zone_allowed = !spec.zone || *spec.zone == place.zone;
   if (!zone_allowed || (place.spot && !spec.spot))
-    violated("wrong_place", spec.id + " on " + place.machine);
+    add_violation("wrong_place", spec.id + " on " + place.machine);
   const auto zone = job.zones.find(place.zone);
   if (spec.spread && zone != job.zones.end() &&
       zone->second > static_cast<int>((spec.tasks + 1) / 2))
-    violated("wrong_place", spec.id + " is not spread");
+    add_violation("wrong_place", spec.id + " is not spread");
 }
 
-void JobBook::task_on_machine(Job& job, uint32_t task, const StartPlace& place, double now) {
+void JobTracker::task_on_machine(Job& job, uint32_t task, const StartLocation& place, double now) {
   const auto& spec = job.spec;
   const auto elsewhere = job.on_machine.find(task);
   if (elsewhere != job.on_machine.end())
-    violated("ran_twice", spec.id + "/" + std::to_string(task) + " on " + elsewhere->second +
-                              " and " + place.machine);
+    add_violation("ran_twice", spec.id + "/" + std::to_string(task) + " on " + elsewhere->second +
+                                   " and " + place.machine);
   job.on_machine[task] = place.machine;
   ++job.zones[place.zone];
-  check_place(job, place);
+  check_location(job, place);
   auto& used = team_used_[spec.team];
   used.add(spec.per_task);
   if (used.cpus > experiment_.team_cpus_max + store::Resources::kSlack)
-    violated("quota", spec.team);
-  if (job.cancel_told_at >= 0 && now - job.cancel_told_at > experiment_.platform.cancel_s)
-    violated("ran_cancelled", spec.id + " starts");
+    add_violation("quota", spec.team);
+  if (job.cancel_seen_at >= 0 && now - job.cancel_seen_at > experiment_.platform.cancel_s)
+    add_violation("ran_cancelled", spec.id + " starts");
   ++running_tasks;
   ++starts;
   start_times.push_back(now);
@@ -64,8 +64,8 @@
       now - (job.accepted_at >= 0 ? job.accepted_at : job.submitted_at));
 }
 
-void JobBook::task_off_machine(Job& job, uint32_t task, const std::string& machine,
-                               const std::string& zone) {
+void JobTracker::task_off_machine(Job& job, uint32_t task, const std::string& machine,
+                                  const std::string& zone) {
   const auto it = job.on_machine.find(task);
   if (it == job.on_machine.end() || it->second != machine) return;
   job.on_machine.erase(it);
@@ -74,39 +74,39 @@
   --running_tasks;
 }
 
-void JobBook::task_completed(Job& job, uint32_t task, double now) {
+void JobTracker::task_completed(Job& job, uint32_t task, double now) {
   if (job.completed[task]) return;
   job.completed[task] = true;
   if (++job.completed_tasks == job.spec.tasks) job.completed_at = now;
 }
 
-void JobBook::told(Job& job, int status, const std::string& state, bool sent_after_cancel,
-                   bool sent_after_done, double now) {
+void JobTracker::check_answer(Job& job, int status, const std::string& state,
+                              bool sent_after_cancel, bool sent_after_done, double now) {
   const auto& id = job.spec.id;
-  if (status == 404 && job.accepted_at >= 0) violated("forgotten", id + " gets 404");
+  if (status == 404 && job.accepted_at >= 0) add_violation("forgotten", id + " gets 404");
   if (status != 200) return;
   if (state == "done") {
-    if (job.completed_tasks < job.spec.tasks) violated("not_done", id);
-    if (sent_after_cancel) violated("went_back", id + " cancelled, then done");
-    if (job.done_told_at < 0) job.done_told_at = now;
+    if (job.completed_tasks < job.spec.tasks) add_violation("not_done", id);
+    if (sent_after_cancel) add_violation("went_back", id + " cancelled, then done");
+    if (job.done_seen_at < 0) job.done_seen_at = now;
   } else if (state == "withdrawn") {
-    if (!job.cancel_asked) violated("went_back", id + " cancelled by nobody");
-    if (job.cancel_told_at < 0) job.cancel_told_at = now;
+    if (!job.cancel_asked) add_violation("went_back", id + " cancelled without a request");
+    if (job.cancel_seen_at < 0) job.cancel_seen_at = now;
     if (!job.on_machine.empty()) cancelled_.insert(id);
   } else if (sent_after_cancel || sent_after_done) {
-    violated("went_back", id + " is " + state + " again");
+    add_violation("went_back", id + " is " + state + " again");
   }
 }
 
-void JobBook::told_of_unknown(int status) {
-  if (status == 200) violated("invented", "a job that nobody has submitted gets 200");
+void JobTracker::check_unknown_job_answer(int status) {
+  if (status == 200) add_violation("invented", "a job that was never submitted gets 200");
 }
 
-void JobBook::check_cancelled(double now) {
+void JobTracker::check_cancelled(double now) {
   for (auto it = cancelled_.begin(); it != cancelled_.end();) {
     const Job& job = jobs_.at(*it);
-    if (!job.on_machine.empty() && now - job.cancel_told_at > experiment_.platform.cancel_s)
-      violated("ran_cancelled", *it);
+    if (!job.on_machine.empty() && now - job.cancel_seen_at > experiment_.platform.cancel_s)
+      add_violation("ran_cancelled", *it);
     it = job.on_machine.empty() ? cancelled_.erase(it) : std::next(it);
   }
 }
--- a/bench/scale/local_controller.cpp
+++ b/bench/scale/local_controller.cpp
@@ -8,7 +8,7 @@
 using store::Json;
 
 namespace {
-constexpr double kWallOffset = 1e9;
+constexpr double kWallClockOffset = 1e9;
 }  // namespace
 
 std::vector<store::MachineType> local_machine_types(bool with_gpus) {
@@ -17,11 +17,11 @@
   return types;
 }
 
-store::JobSpec local_job(int number, uint32_t tasks, int of_teams) {
+store::JobSpec local_job(int number, uint32_t tasks, int team_count) {
   store::JobSpec s;
   s.id = "job-" + std::to_string(number);
   s.job_class = "batch";
-  s.team = "team-" + std::to_string(number % of_teams);
+  s.team = "team-" + std::to_string(number % team_count);
   s.tasks = tasks;
   s.per_task = {1, 0, 1};
   s.image = "image-" + std::to_string(number % 8);
@@ -34,20 +34,21 @@
   settings_.node = "controller-0";
   settings_.nodes = 1;
   settings_.zones = {"a", "b"};
-  constexpr double kEnough = 1e6;
+  constexpr double kUnlimited = 1e6;
   for (int i = 0; i < options.teams; ++i)
-    settings_.teams.push_back({"team-" + std::to_string(i), {10, 0, 0}, {kEnough, kEnough, 0}});
+    settings_.teams.push_back(
+        {"team-" + std::to_string(i), {10, 0, 0}, {kUnlimited, kUnlimited, 0}});
   settings_.heartbeat_interval_s = 3;
   settings_.lease_s = 17.5;
   settings_.cancel_s = 42.5;
-  settings_.state_rps = settings_.state_write_rps = kEnough;
+  settings_.state_rps = settings_.state_write_rps = kUnlimited;
   if (options.writes_per_second > 0) settings_.state_write_rps = options.writes_per_second;
   settings_.value_kb = 16;
   settings_.txn_ops = 12;
-  settings_.cloud_rps = kEnough;
+  settings_.cloud_rps = kUnlimited;
   settings_.list_lag_s = 3;
   settings_.cpu_share = 1;
-  settings_.memory_mb = kEnough;
+  settings_.memory_mb = kUnlimited;
   settings_.max_connections = 1000;
   state_.set_limits(settings_.value_kb, settings_.txn_ops);
   state_.set_history(10000);
@@ -68,7 +69,7 @@
   r.id = r.address = machine_id(number);
   r.type = options_.gpu_machines && number % 4 >= 2 ? "gpu" : "mid";
   r.zone = number % 2 == 0 ? "a" : "b";
-  r.since = kWallOffset;
+  r.since = kWallClockOffset;
   state_.preset(store::machine_key(r.id), to_json(r));
   Heartbeat report;
   report.machine = report.address = r.id;
@@ -79,9 +80,9 @@
 }
 
 void LocalController::start() {
-  pass(5);
+  advance(5);
   for (auto& [id, worker] : workers_) handle(HandleHeartbeat{next_request_++, report_of(id)});
-  pass(1);
+  advance(1);
 }
 
 Heartbeat LocalController::report_of(const std::string& machine) {
@@ -96,22 +97,22 @@
 
 void LocalController::handle(Command command) {
   commands_.push_back(std::move(command));
-  work_off();
+  drain_commands();
 }
 
-void LocalController::work_off() {
+void LocalController::drain_commands() {
   while (!commands_.empty())
-    for (auto& effect : core_->handle(commands_, Clock{now_, kWallOffset + now_}))
-      carry_out(std::move(effect));
+    for (auto& effect : core_->handle(commands_, Clock{now_, kWallClockOffset + now_}))
+      execute(std::move(effect));
   if (!watch_ || std::get<Watch>(watch_->body).since >= state_.revision()) return;
   const Call call = std::move(*watch_);
   watch_.reset();
   commands_.push_back(
       CallDone{call.id, 200, *state_.changes_since(std::get<Watch>(call.body).since)});
-  work_off();
+  drain_commands();
 }
 
-void LocalController::pass(double seconds) {
+void LocalController::advance(double seconds) {
   const double until = now_ + seconds;
   while (now_ < until) {
     now_ = std::clamp(core_->next_wakeup(), now_ + 0.01, until);
@@ -132,7 +133,7 @@
   }
 }
 
-void LocalController::carry_out(Effect&& effect) {
+void LocalController::execute(Effect&& effect) {
   if (auto* call = std::get_if<Call>(&effect)) answer(*call);
 }
 
@@ -156,7 +157,7 @@
   commands_.push_back(std::move(done));
 }
 
-// Tasks run at once: the image is always there.
+// Tasks run at once, without time to fetch the image.
 void LocalController::command_worker(const PushCommands& command, CallDone& done) {
   Heartbeat& worker = workers_.at(command.address);
   worker.fencing_token = command.fencing_token;
--- a/bench/scale/local_controller.h
+++ b/bench/scale/local_controller.h
@@ -1,5 +1,5 @@
-// One controller's core in this process, with the state service's stand-in, machines that do what
-// they are told, and no network: for counting what a piece of work costs.
+// One controller's core in this process, with a simulated state service, workers that carry out
+// commands at once, and no network. It serves to count the cost of operations.
 #pragma once
 #include <deque>
 #include <map>
@@ -14,38 +14,37 @@
 class LocalController {
  public:
   struct Options {
-    int teams = 1;  // which share the machines without a limit that matters
-    bool gpu_machines =
-        false;  // every second machine is one with GPUs; else all are of one type of 6 CPUs
-    double writes_per_second = 0;  // of the state service; 0: enough
+    int teams = 1;                 // they share the machines; their limits are never reached
+    bool gpu_machines = false;     // half of the machines have GPUs; otherwise all have 6 CPUs
+    double writes_per_second = 0;  // of the state service; 0: unlimited
   };
-  /// Machines stand in two zones.
+  /// Creates a controller for machines in two zones.
   explicit LocalController(const Options& options);
   explicit LocalController(int teams) : LocalController(Options{teams, false, 0}) {}
 
   testing::FakeStateStore& state() { return state_; }
   coordination::Core& core() { return *core_; }
   const store::Settings& settings() const { return settings_; }
-  /// Puts a machine into service: its record, and a worker that reports.
+  /// Adds a machine: its record, and a worker that reports.
   void add_machine(int number);
-  /// Reads all keys, takes the only part and leads.
+  /// Lets the controller read all keys, acquire the only shard and become cluster leader.
   void start();
-  /// Hands one command to the core, and carries out what follows until nothing is under way.
+  /// Passes one command to the core and carries out its effects until none is left.
   void handle(coordination::Command command);
-  /// Lets time pass, with the ticks that the core asks for.
-  void pass(double seconds);
+  /// Advances the clock, with a tick at each time that the core asks for.
+  void advance(double seconds);
   void submit(const store::JobSpec& spec);
-  /// All tasks that run on machines are done.
+  /// Ends all tasks on machines as done and reports them.
   void finish_all_tasks();
   coordination::Heartbeat report_of(const std::string& machine);
   double now() const { return now_; }
   static std::string machine_id(int number);
 
  private:
-  void carry_out(coordination::Effect&& effect);
+  void execute(coordination::Effect&& effect);
   void answer(const coordination::Call& call);
   void command_worker(const coordination::PushCommands& command, coordination::CallDone& done);
-  void work_off();
+  void drain_commands();
 
   Options options_;
   store::Settings settings_;
@@ -59,7 +58,7 @@
 };
 
 std::vector<store::MachineType> local_machine_types(bool with_gpus);
-/// An array of tasks of one CPU.
-store::JobSpec local_job(int number, uint32_t tasks, int of_teams);
+/// Returns an array job whose tasks need one CPU each.
+store::JobSpec local_job(int number, uint32_t tasks, int team_count);
 
 }  // namespace rushtrestle::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,5 +1,5 @@
-// rushtrestle_scale: plays real controllers against hollow workers, stand-ins of the state service
-// and the cloud, and users, all on this machine's loopback addresses, and prints what it measured.
+// rushtrestle_scale: runs real controllers with hollow workers, users, and a simulated state
+// service and cloud, all on this machine's loopback addresses, and prints its measurements.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -28,12 +28,13 @@
 
 int main(int argc, char** argv) {
   using namespace rushtrestle;
-  CLI::App app{"Plays a fleet of hollow workers against real controllers on this machine"};
+  CLI::App app{"Runs real controllers with a fleet of hollow workers on this machine"};
   std::string file, output;
   std::string controller = (std::filesystem::path(argv[0]).parent_path() / "rushtrestle").string();
-  app.add_option("--experiment", file, "what is played (TOML)")->required();
-  app.add_option("--controller", controller, "the controllers' program")->capture_default_str();
-  app.add_option("--output", output, "directory for the report as NAME.json and NAME.txt");
+  app.add_option("--experiment", file, "experiment to run (TOML file)")->required();
+  app.add_option("--controller", controller, "path of the controller program")
+      ->capture_default_str();
+  app.add_option("--output", output, "directory in which NAME.json and NAME.txt are written");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
@@ -46,7 +47,7 @@
     scale::Run run(experiment, controller);
     spdlog::info("{}: {} controllers, {:.0f} s", experiment.name, experiment.platform.nodes,
                  experiment.seconds);
-    const store::Json report = run.play();
+    const store::Json report = run.execute();
     const std::string text = scale::report_text(report);
     std::cout << text;
     if (!output.empty()) {
--- a/bench/scale/processes.cpp
+++ b/bench/scale/processes.cpp
@@ -14,31 +14,31 @@
 
 namespace rushtrestle::scale {
 
-ProcessUse measure_process(pid_t pid) {
-  ProcessUse use;
+ProcessUsage measure_process(pid_t pid) {
+  ProcessUsage usage;
   const std::string directory = "/proc/" + std::to_string(pid);
   std::ifstream stat(directory + "/stat");
   std::string text;
   std::getline(stat, text);
   const auto end_of_name = text.rfind(')');
-  if (end_of_name == std::string::npos) return use;
+  if (end_of_name == std::string::npos) return usage;
   std::istringstream fields(text.substr(end_of_name + 2));
-  constexpr int kFieldsBeforeTimes = 11;  // from the state on, see proc(5)
+  constexpr int kFieldsBeforeTimes = 11;  // from the state up to utime, see proc(5)
   std::string skipped;
   for (int i = 0; i < kFieldsBeforeTimes; ++i) fields >> skipped;
   double user = 0, system = 0;
   fields >> user >> system;
-  use.cpu_s = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
+  usage.cpu_s = (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
   std::ifstream status(directory + "/status");
   while (std::getline(status, text)) {
     constexpr double kKilobytes = 1024;
-    if (text.rfind("VmRSS:", 0) == 0) use.memory_mb = std::stod(text.substr(6)) / kKilobytes;
-    if (text.rfind("VmHWM:", 0) == 0) use.peak_mb = std::stod(text.substr(6)) / kKilobytes;
+    if (text.rfind("VmRSS:", 0) == 0) usage.memory_mb = std::stod(text.substr(6)) / kKilobytes;
+    if (text.rfind("VmHWM:", 0) == 0) usage.peak_mb = std::stod(text.substr(6)) / kKilobytes;
   }
-  return use;
+  return usage;
 }
 
-void end_child(pid_t pid) {
+void kill_child(pid_t pid) {
   if (pid <= 0) return;
   ::kill(pid, SIGKILL);
   waitpid(pid, nullptr, 0);
@@ -49,14 +49,14 @@
   if (access(program_.c_str(), X_OK) != 0)
     throw std::runtime_error("controller: cannot run " + program_);
   char directory[] = "/tmp/rushtrestle-scale-XXXXXX";
-  if (!mkdtemp(directory)) throw std::runtime_error("cannot make a directory in /tmp");
+  if (!mkdtemp(directory)) throw std::runtime_error("cannot create a directory in /tmp");
   directory_ = directory;
   for (int i = 0; i < count(); ++i)
     std::ofstream(settings_file(i)) << controller_settings(experiment, i);
 }
 
 Controllers::~Controllers() {
-  for (const auto& p : running_) end_child(p.pid);
+  for (const auto& p : running_) kill_child(p.pid);
   std::error_code ignored;
   std::filesystem::remove_all(directory_, ignored);
 }
@@ -79,21 +79,21 @@
 void Controllers::kill(int index) {
   auto& process = running_[static_cast<size_t>(index)];
   if (process.pid == 0) return;
-  process.earlier = use(index);
-  end_child(process.pid);
+  process.previous = usage(index);
+  kill_child(process.pid);
   process.pid = 0;
 }
 
-ProcessUse Controllers::use(int index) const {
+ProcessUsage Controllers::usage(int index) const {
   const auto& process = running_[static_cast<size_t>(index)];
-  if (process.pid == 0) return process.earlier;
-  ProcessUse now = measure_process(process.pid);
-  now.cpu_s += process.earlier.cpu_s;
-  now.peak_mb = std::max(now.peak_mb, process.earlier.peak_mb);
+  if (process.pid == 0) return process.previous;
+  ProcessUsage now = measure_process(process.pid);
+  now.cpu_s += process.previous.cpu_s;
+  now.peak_mb = std::max(now.peak_mb, process.previous.peak_mb);
   return now;
 }
 
-std::string Controllers::ended_by_itself() {
+std::string Controllers::find_unexpected_exit() {
   for (int i = 0; i < count(); ++i) {
     auto& process = running_[static_cast<size_t>(i)];
     int status = 0;
@@ -102,7 +102,7 @@
     std::ifstream log(directory_ + "/" + controller_name(i) + ".log");
     std::string line, last;
     while (std::getline(log, line)) last = line;
-    return controller_name(i) + " ended by itself" +
+    return controller_name(i) + " exited unexpectedly" +
            (WIFEXITED(status) ? " with status " + std::to_string(WEXITSTATUS(status))
                               : " by a signal") +
            (last.empty() ? "" : ": " + last);
--- a/bench/scale/processes.h
+++ b/bench/scale/processes.h
@@ -1,4 +1,4 @@
-// The child processes of a run: started, watched, measured and ended by id.
+// Starts, watches, measures and kills the controller processes of a run.
 #pragma once
 #include <sys/types.h>
 
@@ -9,17 +9,17 @@
 
 namespace rushtrestle::scale {
 
-struct ProcessUse {
-  double cpu_s = 0;      // processor time used, user and system
+struct ProcessUsage {
+  double cpu_s = 0;      // CPU time, user and system
   double memory_mb = 0;  // resident
-  double peak_mb = 0;
+  double peak_mb = 0;    // largest resident
 };
 
-ProcessUse measure_process(pid_t pid);
+ProcessUsage measure_process(pid_t pid);
 
 class Controllers {
  public:
-  /// Writes settings files into a fresh directory below /tmp.
+  /// Writes the settings files into a new directory below /tmp.
   Controllers(const Experiment& experiment, std::string program);
   ~Controllers();
   Controllers(const Controllers&) = delete;
@@ -29,15 +29,16 @@
   void start(int index);
   void kill(int index);
   bool alive(int index) const { return running_[static_cast<size_t>(index)].pid != 0; }
-  /// Names a controller that has ended by itself; empty: none has.
-  std::string ended_by_itself();
-  /// Of this controller's present and earlier processes together; memory of the largest.
-  ProcessUse use(int index) const;
+  /// Describes a controller that exited unexpectedly; empty if none did.
+  std::string find_unexpected_exit();
+  /// Returns the CPU time of this controller's present and earlier processes together, their
+  /// largest peak, and the resident memory of the latest.
+  ProcessUsage usage(int index) const;
 
  private:
   struct Process {
     pid_t pid = 0;  // 0: not running
-    ProcessUse earlier;
+    ProcessUsage previous;
   };
   std::string settings_file(int index) const {
     return directory_ + "/" + controller_name(index) + ".toml";
@@ -47,7 +48,7 @@
   std::vector<Process> running_;
 };
 
-/// Kills a child by its id and waits for its end.
-void end_child(pid_t pid);
+/// Kills a child process by its id and waits for its end.
+void kill_child(pid_t pid);
 
 }  // namespace rushtrestle::scale
--- a/bench/scale/report_text.cpp
+++ b/bench/scale/report_text.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// One line a value, with its place in the report; small objects on one line. What controllers tell
-/// is in the JSON only.
+/// Prints one line per value with its path in the report; an object of up to 110 characters takes
+/// one line. The statistics of controllers (`stats`) are in the JSON report only.
 void print(const std::string& name, const Json& value, std::string& out) {
-  constexpr size_t kOneLine = 110;
+  constexpr size_t kMaxLineLength = 110;
   const std::string text = value.dump();
-  if (!value.is_structured() || text.size() <= kOneLine) {
+  if (!value.is_structured() || text.size() <= kMaxLineLength) {
     out += name + ": " + text + "\n";
     return;
   }
--- a/bench/scale/run.cpp
+++ b/bench/scale/run.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr double kSampleEvery = 0.5;
-constexpr double kCollectWithin = 3;
+constexpr double kSampleInterval = 0.5;  // seconds
+constexpr double kProbeTimeout = 3;      // seconds
 constexpr double kRecoveredShare = 0.98;
-constexpr double kControllerBackAfter =
-    0.5;  // seconds after its end, unless the trouble says otherwise
-constexpr double kMostMemoryShare = 0.5;  // of the machine's, all processes together
-constexpr int kMostProcesses = 300;
+// Seconds from the end of a killed controller to its restart, unless the fault lasts longer.
+constexpr double kControllerRestartDelay = 0.5;
+constexpr double kMaxMemoryShare = 0.5;  // of the machine's memory, by all processes together
+constexpr int kMaxProcesses = 300;
 constexpr size_t kReplyLimit = size_t{8} << 20;
 constexpr double kMegabyte = 1024.0 * 1024.0;
 
@@ -30,27 +30,26 @@
          static_cast<double>(sysconf(_SC_PAGE_SIZE)) / kMegabyte;
 }
 
-/// Raises this process's limit of sockets to what it needs and says how many connections of
-/// controllers each worker may hold; throws when the machine does not allow the least.
-size_t share_sockets(const Experiment& e) {
+/// Raises this process's limit of open files for the sockets that it needs, and returns how many
+/// connections controllers may hold to each worker. Throws if the system allows too few sockets.
+size_t raise_socket_limit(const Experiment& e) {
   rlim_t machines = 0;
   for (const auto& pool : e.pools)
     machines += static_cast<rlim_t>(pool.capacity) * e.platform.zones.size();
-  constexpr rlim_t kOfWorker = 2,
-                   kOthers =
-                       2500;  // a listener and one connection out, beside those of controllers
-  constexpr rlim_t kLeastConnections = 2, kMostConnections = 3;
+  // A worker has a listener and one outgoing connection, besides those of controllers.
+  constexpr rlim_t kSocketsPerWorker = 2, kOtherSockets = 2500;
+  constexpr rlim_t kMinConnections = 2, kMaxConnections = 3;
   const auto needed = [&](rlim_t connections) {
-    return machines * (kOfWorker + connections) + kOthers;
+    return machines * (kSocketsPerWorker + connections) + kOtherSockets;
   };
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
-  limit.rlim_cur = std::min(limit.rlim_max, std::max(limit.rlim_cur, needed(kMostConnections)));
+  limit.rlim_cur = std::min(limit.rlim_max, std::max(limit.rlim_cur, needed(kMaxConnections)));
   setrlimit(RLIMIT_NOFILE, &limit);
-  if (limit.rlim_cur < needed(kLeastConnections))
-    throw std::runtime_error("too few sockets: " + std::to_string(needed(kLeastConnections)) +
-                             " are needed, " + std::to_string(limit.rlim_cur) + " allowed");
-  return limit.rlim_cur < needed(kMostConnections) ? kLeastConnections : kMostConnections;
+  if (limit.rlim_cur < needed(kMinConnections))
+    throw std::runtime_error("open file limit too low: " + std::to_string(needed(kMinConnections)) +
+                             " needed, " + std::to_string(limit.rlim_cur) + " allowed");
+  return limit.rlim_cur < needed(kMaxConnections) ? kMinConnections : kMaxConnections;
 }
 
 Json percentiles(std::vector<double> values) {
@@ -64,18 +63,18 @@
   return {{"count", values.size()}, {"p50_s", at(0.5)}, {"p99_s", at(0.99)}, {"max_s", at(1)}};
 }
 
-/// Mean over the seconds in which anything started, and over the best ten seconds.
+/// Returns the rate per second over the whole run, and the highest rate over ten seconds.
 Json rates(const std::vector<double>& times, double began_at, double ended_at) {
-  constexpr size_t kBest = 10;
+  constexpr size_t kWindowSeconds = 10;
   std::vector<double> by_second(static_cast<size_t>(std::max(1.0, std::ceil(ended_at - began_at))),
                                 0);
   for (const double t : times)
     by_second[std::min(by_second.size() - 1, static_cast<size_t>(t - began_at))] += 1;
   double best = 0;
-  for (size_t i = 0; i + kBest <= by_second.size(); ++i) {
+  for (size_t i = 0; i + kWindowSeconds <= by_second.size(); ++i) {
     double sum = 0;
-    for (size_t k = i; k < i + kBest; ++k) sum += by_second[k];
-    best = std::max(best, sum / kBest);
+    for (size_t k = i; k < i + kWindowSeconds; ++k) sum += by_second[k];
+    best = std::max(best, sum / kWindowSeconds);
   }
   return {{"mean", std::round(10 * static_cast<double>(times.size()) / (ended_at - began_at)) / 10},
           {"best_ten_seconds", best}};
@@ -89,23 +88,23 @@
       jobs_(experiment),
       controllers_(experiment, controller_program),
       probes_(event_loop_, 64, kReplyLimit) {
-  if (experiment.platform.nodes + 2 > kMostProcesses)
-    throw std::runtime_error("too many processes: at most " + std::to_string(kMostProcesses));
-  const size_t connections_in = share_sockets(experiment);
+  if (experiment.platform.nodes + 2 > kMaxProcesses)
+    throw std::runtime_error("too many processes: at most " + std::to_string(kMaxProcesses));
+  const size_t incoming_connections = raise_socket_limit(experiment);
   state_pid_ = start_state_server(experiment);
   try {
     event_loop_.refresh_clock();
-    const WorkerSurroundings surroundings{event_loop_, jobs_, experiment_, random_, connections_in};
-    fleet_ = std::make_unique<Fleet>(surroundings);
+    const WorkerContext context{event_loop_, jobs_, experiment_, random_, incoming_connections};
+    fleet_ = std::make_unique<Fleet>(context);
     users_ = std::make_unique<Users>(event_loop_, jobs_, experiment_, random_);
     for (int i = 0; i < controllers_.count(); ++i) controllers_.start(i);
   } catch (...) {
-    end_child(state_pid_);
+    kill_child(state_pid_);
     throw;
   }
 }
 
-Run::~Run() { end_child(state_pid_); }
+Run::~Run() { kill_child(state_pid_); }
 
 void Run::fail(const std::string& why) {
   if (failure_.empty()) failure_ = why;
@@ -113,15 +112,15 @@
 }
 
 void Run::check_limits() {
-  const std::string ended = controllers_.ended_by_itself();
+  const std::string ended = controllers_.find_unexpected_exit();
   if (!ended.empty()) return fail(ended);
   double memory_mb = measure_process(getpid()).memory_mb + measure_process(state_pid_).memory_mb;
-  for (int i = 0; i < controllers_.count(); ++i) memory_mb += controllers_.use(i).memory_mb;
-  if (memory_mb > machine_memory_mb() * kMostMemoryShare)
+  for (int i = 0; i < controllers_.count(); ++i) memory_mb += controllers_.usage(i).memory_mb;
+  if (memory_mb > machine_memory_mb() * kMaxMemoryShare)
     fail("more than half of the machine's memory is in use: " +
          std::to_string(static_cast<int>(memory_mb)) + " MB");
   jobs_.check_cancelled(event_loop_.now());
-  if (!jobs_.violations.empty()) fail("a rule is broken: " + jobs_.violations.front());
+  if (!jobs_.violations.empty()) fail("rule violated: " + jobs_.violations.front());
 }
 
 void Run::sample() {
@@ -137,24 +136,23 @@
     if (share >= kRecoveredShare && r.recovered_after < 0) r.recovered_after = now - r.began_at;
   }
   if (running_samples_.size() % 2 == 0) check_limits();
-  event_loop_.after(kSampleEvery, [this] { sample(); });
+  event_loop_.after(kSampleInterval, [this] { sample(); });
 }
 
-void Run::begin_trouble(size_t index) {
-  const Trouble& trouble = experiment_.troubles[index];
+void Run::begin_fault(size_t index) {
+  const Fault& fault = experiment_.faults[index];
   Recovery r;
-  r.trouble = trouble;
+  r.fault = fault;
   r.began_at = event_loop_.now();
   r.running_before = static_cast<double>(jobs_.running_tasks);
   r.healthy.assign(static_cast<size_t>(controllers_.count()), true);
   recoveries_.push_back(r);
-  if (trouble.kind != TroubleKind::kill_controllers) return fleet_->trouble(trouble);
-  const int killed =
-      std::max(1, static_cast<int>(std::round(trouble.share * controllers_.count())));
+  if (fault.kind != FaultKind::kill_controllers) return fleet_->inject_fault(fault);
+  const int killed = std::max(1, static_cast<int>(std::round(fault.share * controllers_.count())));
   for (int i = 0; i < killed; ++i) {
     controllers_.kill(i);
     recoveries_.back().healthy[static_cast<size_t>(i)] = false;
-    event_loop_.after(std::max(trouble.for_s, kControllerBackAfter),
+    event_loop_.after(std::max(fault.for_s, kControllerRestartDelay),
                       [this, i, recovery = recoveries_.size() - 1] {
                         controllers_.start(i);
                         probe_health(recovery, i);
@@ -165,9 +163,9 @@
 void Run::probe_health(size_t recovery, int controller) {
   get(controller_address(controller), "/up",
       [this, recovery, controller](int status, const std::string&) {
-        constexpr double kProbeEvery = 0.1;
+        constexpr double kProbeInterval = 0.1;
         if (status != 200) {
-          event_loop_.after(kProbeEvery,
+          event_loop_.after(kProbeInterval,
                             [this, recovery, controller] { probe_health(recovery, controller); });
           return;
         }
@@ -183,17 +181,17 @@
 void Run::get(const std::string& address, const std::string& path,
               std::function<void(int, const std::string&)> then) {
   probes_.request(transport::parse_address(address), "GET", path, "", "application/json",
-                  kCollectWithin,
+                  kProbeTimeout,
                   [then = std::move(then)](int status, std::string&& body) { then(status, body); });
 }
 
-void Run::collect() {
+void Run::collect_statistics() {
   controller_stats_.assign(static_cast<size_t>(controllers_.count()), Json::object());
-  still_to_collect_ = controller_stats_.size() + 1;
+  pending_responses_ = controller_stats_.size() + 1;
   const auto got = [this](Json& into, const std::string& body) {
     into = Json::parse(body, nullptr, false);
     if (into.is_discarded()) into = nullptr;  // no answer
-    if (--still_to_collect_ == 0) event_loop_.stop();
+    if (--pending_responses_ == 0) event_loop_.stop();
   };
   get(kStateAddress, "/counters",
       [this, got](int, const std::string& body) { got(state_counters_, body); });
@@ -203,13 +201,13 @@
     });
 }
 
-Json Run::play() {
+Json Run::execute() {
   began_at_ = event_loop_.now();
   users_->start();
   sample();
-  for (size_t i = 0; i < experiment_.troubles.size(); ++i)
-    event_loop_.after(experiment_.troubles[i].at_s, [this, i] { begin_trouble(i); });
-  event_loop_.after(experiment_.seconds, [this] { collect(); });
+  for (size_t i = 0; i < experiment_.faults.size(); ++i)
+    event_loop_.after(experiment_.faults[i].at_s, [this, i] { begin_fault(i); });
+  event_loop_.after(experiment_.seconds, [this] { collect_statistics(); });
   event_loop_.run();
   return report();
 }
@@ -218,26 +216,26 @@
   Json out = Json::array();
   const double seconds = event_loop_.now() - began_at_;
   for (int i = 0; i < controllers_.count(); ++i) {
-    const ProcessUse use = controllers_.use(i);
+    const ProcessUsage usage = controllers_.usage(i);
     Json j = {{"name", controller_name(i)},
-              {"cpu_share", std::round(1e4 * use.cpu_s / seconds) / 1e4},
-              {"memory_mb", std::round(10 * use.memory_mb) / 10},
-              {"peak_mb", std::round(10 * use.peak_mb) / 10}};
+              {"cpu_share", std::round(1e4 * usage.cpu_s / seconds) / 1e4},
+              {"memory_mb", std::round(10 * usage.memory_mb) / 10},
+              {"peak_mb", std::round(10 * usage.peak_mb) / 10}};
     if (!controller_stats_.empty()) j["stats"] = controller_stats_[static_cast<size_t>(i)];
     out.push_back(std::move(j));
   }
   return out;
 }
 
-Json Run::troubles_report() const {
+Json Run::faults_report() const {
   static constexpr const char* kNames[] = {"kill_workers", "cut_workers", "restart_workers",
                                            "kill_controllers"};
   Json out = Json::array();
   for (const auto& r : recoveries_)
-    out.push_back({{"kind", kNames[static_cast<size_t>(r.trouble.kind)]},
+    out.push_back({{"kind", kNames[static_cast<size_t>(r.fault.kind)]},
                    {"at_s", r.began_at - began_at_},
-                   {"share", r.trouble.share},
-                   {"zone", r.trouble.zone},
+                   {"share", r.fault.share},
+                   {"zone", r.fault.zone},
                    {"running_before", r.running_before},
                    {"lowest_share_running", r.lowest_share},
                    {"recovered_after_s", r.recovered_after},
@@ -300,7 +298,7 @@
           {"state_service", state_counters_},
           {"stand_ins_cpu_share",
            measure_process(getpid()).cpu_s / std::max(1.0, event_loop_.now() - began_at_)},
-          {"troubles", troubles_report()},
+          {"troubles", faults_report()},
           {"controllers", controllers_report()}};
 }
 
--- a/bench/scale/state_server.cpp
+++ b/bench/scale/state_server.cpp
@@ -19,12 +19,13 @@
 
 namespace {
 
-constexpr size_t kHistory = 10000;  // changes that the service keeps for watches, by the protocol
-constexpr size_t kPage = 200;
-constexpr size_t kTransactionBytes = size_t{64} * 1024;
+// Changes that the service keeps for watches, by the protocol.
+constexpr size_t kHistoryChanges = 10000;
+constexpr size_t kPageSize = 200;
+constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
 constexpr int kTasksOfFinishedJob = 10;
 
-/// A job that is over, as the state service keeps it for ever.
+/// Returns the record of a finished job; the state service keeps such records for ever.
 Json finished_job(const std::string& id) {
   store::JobRecord r;
   r.spec.id = id;
@@ -48,19 +49,19 @@
       : event_loop_(event_loop),
         latency_s_(experiment.state_latency_s),
         server_(event_loop, transport::parse_address(kStateAddress),
-                {static_cast<size_t>(experiment.platform.nodes) * 64 + 64, kTransactionBytes, 600},
+                {static_cast<size_t>(experiment.platform.nodes) * 64 + 64, kMaxBodyBytes, 600},
                 [this](transport::ExchangeId id, transport::HttpMessage&& m) { serve(id, m); }) {
-    service_.set_limits(experiment.platform.value_kb, experiment.platform.txn_ops);
-    service_.set_write_rate(experiment.platform.state_write_rps);
-    service_.set_request_rate(experiment.platform.state_rps);
-    service_.set_page(kPage);
-    service_.set_history(kHistory);
+    store_.set_limits(experiment.platform.value_kb, experiment.platform.txn_ops);
+    store_.set_write_rate(experiment.platform.state_write_rps);
+    store_.set_request_rate(experiment.platform.state_rps);
+    store_.set_page(kPageSize);
+    store_.set_history(kHistoryChanges);
     for (int i = 0; i < experiment.finished_jobs; ++i) {
       const std::string id = "job-h" + std::to_string(i);
-      service_.preset(store::job_key(id), finished_job(id));
+      store_.preset(store::job_key(id), finished_job(id));
     }
     event_loop_.each_turn([this] { answer_watches(); });
-    expire();
+    expire_leases();
   }
 
  private:
@@ -75,16 +76,16 @@
     std::optional<CallBody> body;
     try {
       body = decode_state_request(m.method, m.target, m.body);
-    } catch (const std::exception&) {  // anything malformed
+    } catch (const std::exception&) {  // the request is malformed
       body.reset();
     }
     if (!body) return answer(id, 400, "");
-    if (!service_.admit(event_loop_.now())) return answer(id, 429, "");
+    if (!store_.admit(event_loop_.now())) return answer(id, 429, "");
     if (const auto* watch = std::get_if<Watch>(&*body)) {
       watches_.push_back({id, watch->since, event_loop_.now() + watch->hold_s});
       return;
     }
-    const CallDone done = service_.answer(Call{0, 0, std::move(*body)}, event_loop_.now());
+    const CallDone done = store_.answer(Call{0, 0, std::move(*body)}, event_loop_.now());
     event_loop_.after(latency_s_, [this, id, status = done.status,
                                    text = encode_state_reply(done)] { answer(id, status, text); });
   }
@@ -93,12 +94,12 @@
     std::string cached;
     uint64_t cached_since = 0;
     for (auto it = watches_.begin(); it != watches_.end();) {
-      if (it->since >= service_.revision() && event_loop_.now() < it->until) {
+      if (it->since >= store_.revision() && event_loop_.now() < it->until) {
         ++it;
         continue;
       }
       if (cached.empty() || cached_since != it->since) {
-        const auto reply = service_.changes_since(it->since);
+        const auto reply = store_.changes_since(it->since);
         cached_since = it->since;
         cached = reply ? encode_state_reply(CallDone{0, 200, *reply}) : "";
       }
@@ -108,9 +109,10 @@
     }
   }
 
-  void expire() {
-    service_.expire_leases(event_loop_.now());
-    event_loop_.after(0.1, [this] { expire(); });  // up to 100 ms late, by the protocol
+  void expire_leases() {
+    store_.expire_leases(event_loop_.now());
+    // By the protocol, leases may expire up to 100 ms late.
+    event_loop_.after(0.1, [this] { expire_leases(); });
   }
 
   void answer(transport::ExchangeId id, int status, const std::string& body) {
@@ -118,20 +120,20 @@
   }
 
   Json counters() const {
-    const auto& c = service_.counters();
+    const auto& c = store_.counters();
     return {{"requests", c.requests},
             {"transactions", c.transactions},
             {"conflicts", c.conflicts},
             {"puts_asked", c.puts_asked},
             {"puts", c.puts},
             {"refused_for_rate", c.refused_for_rate},
-            {"revision", service_.revision()},
+            {"revision", store_.revision()},
             {"bytes_followed", watched_bytes_}};
   }
 
   transport::EventLoop& event_loop_;
   double latency_s_;
-  testing::FakeStateStore service_;
+  testing::FakeStateStore store_;
   std::list<WaitingWatch> watches_;
   uint64_t watched_bytes_ = 0;
   transport::HttpServer server_;
@@ -141,7 +143,7 @@
 
 pid_t start_state_server(const Experiment& experiment) {
   int ready[2];
-  if (pipe(ready) != 0) throw std::runtime_error("state service: no pipe");
+  if (pipe(ready) != 0) throw std::runtime_error("state service: cannot create a pipe");
   const pid_t pid = fork();
   if (pid < 0) throw std::runtime_error("state service: fork failed");
   if (pid == 0) {
@@ -151,13 +153,13 @@
       transport::EventLoop event_loop;
       const StateServer server(event_loop, experiment);
       if (write(ready[1], "r", 1) == 1) event_loop.run();
-    } catch (const std::exception&) {  // told by the closed pipe
+    } catch (const std::exception&) {  // the parent sees the closed pipe
     }
     _exit(1);
   }
   close(ready[1]);
-  char word = 0;
-  const bool listens = read(ready[0], &word, 1) == 1;
+  char ready_byte = 0;
+  const bool listens = read(ready[0], &ready_byte, 1) == 1;
   close(ready[0]);
   if (!listens)
     throw std::runtime_error(std::string("state service: cannot listen on ") + kStateAddress +
--- a/bench/scale/state_server.h
+++ b/bench/scale/state_server.h
@@ -1,4 +1,4 @@
-// The state service as a process of its own: the stand-in of the tests behind sockets.
+// The simulated state service as a separate process: serves FakeStateStore of the tests over HTTP.
 #pragma once
 #include <sys/types.h>
 
@@ -6,8 +6,8 @@
 
 namespace rushtrestle::scale {
 
-/// Forks a process that serves until it is killed, and waits until it listens. Throws
-/// std::runtime_error when it can't.
+/// Forks a process that serves until it is killed, and returns its id once it listens. Throws
+/// std::runtime_error if it cannot.
 pid_t start_state_server(const Experiment& experiment);
 
 }  // namespace rushtrestle::scale
--- a/bench/scale/wire.cpp
+++ b/bench/scale/wire.cpp
@@ -63,7 +63,7 @@
   }
 };
 
-const char* state_word(const ReportedTask& t) {
+const char* state_name(const ReportedTask& t) {
   switch (t.state) {
     case TaskState::fetching: return "pulling";
     case TaskState::running: return "running";
@@ -73,7 +73,7 @@
   return "ended";
 }
 
-const char* cause_word(ExitCause cause) {
+const char* cause_name(ExitCause cause) {
   switch (cause) {
     case ExitCause::done: return "done";
     case ExitCause::stopped: return "stopped";
@@ -114,8 +114,8 @@
   for (const auto& t : r.tasks) {
     Json j = {{"chore", t.job + "/" + std::to_string(t.task)},
               {"try", t.attempt},
-              {"status", state_word(t)}};
-    if (t.state == TaskState::exited) j["cause"] = cause_word(t.cause);
+              {"status", state_name(t)}};
+    if (t.state == TaskState::exited) j["cause"] = cause_name(t.cause);
     if (t.saved) j["kept"] = true;
     chores.push_back(std::move(j));
   }
@@ -131,9 +131,9 @@
                             {"chores", std::move(chores)}});
 }
 
-std::vector<WorkerCommand> decode_orders(const Json& orders) {
+std::vector<WorkerCommand> decode_commands(const Json& commands) {
   std::vector<WorkerCommand> out;
-  for (const auto& o : orders) {
+  for (const auto& o : commands) {
     WorkerCommand c;
     const std::string verb = o.at("verb");
     c.verb = verb == "run"    ? WorkerVerb::start
--- a/bench/scale/wire.h
+++ b/bench/scale/wire.h
@@ -1,5 +1,5 @@
-// The other side of the protocol: what users, workers and the state service read and write. The
-// controllers' own side stands in src/protocol.
+// The protocol as users, workers and the state service read and write it; src/protocol has the
+// controllers' side.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,20 +9,20 @@
 
 namespace rushtrestle::scale {
 
-/// A request to the state service; none: malformed.
+/// Decodes a request to the state service; returns nothing if it is malformed.
 std::optional<coordination::CallBody> decode_state_request(const std::string& method,
                                                            const std::string& target,
                                                            const std::string& body);
-/// The body of the state service's answer.
+/// Encodes the body of the state service's answer.
 std::string encode_state_reply(const coordination::CallDone& done);
 
-/// A worker's report, as sent to `/checkin` and in answers of `/commands`.
+/// Encodes a worker's report, as sent to `/checkin` and in answers to `/commands`.
 std::string encode_report(const coordination::Heartbeat& report);
-/// The orders of an answer to a report or of a direct command; throws store::Json::exception on
-/// nonsense.
-std::vector<coordination::WorkerCommand> decode_orders(const store::Json& orders);
+/// Decodes the commands in an answer to a report or in a direct command. Throws
+/// store::Json::exception on malformed input.
+std::vector<coordination::WorkerCommand> decode_commands(const store::Json& commands);
 
-/// A submission by a user.
+/// Encodes a user's submission.
 std::string encode_submission(const store::JobSpec& spec);
 
 }  // namespace rushtrestle::scale
--- a/tests/effect_digests.sh
+++ b/tests/effect_digests.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# Runs each test of the given binary by itself, with the seed of the build, and prints a sorted line for each that plays
-# simulated controllers: hash of all their effects, number of effects, test (see effect_digest.h). Two versions of the
-# program that do the same give the same hashes; renamed tests keep theirs.
+# Runs each test of the given binary in its own process, with the seed of the build, and prints a
+# sorted line for each test with simulated controllers: hash of all their effects, number of
+# effects, test name (see effect_digest.h). Versions of the program with the same behaviour give the
+# same hashes, also for renamed tests.
 #
 #     tests/effect_digests.sh build/test/tests/rushtrestle_tests [JOBS] > after.txt
 #     diff <(cut -d' ' -f1,2 tests/effect_digests.txt) <(cut -d' ' -f1,2 after.txt)
--- a/tests/scale_cli_test.sh
+++ b/tests/scale_cli_test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The scale run's command line: bad settings end with one line that names the field, and status 2; what can't be started
-# with status 1. Starts no fleet.
+# Tests the command line of rushtrestle_scale: it rejects invalid settings with status 2 and a line
+# that names the field, and ends with status 1 if a program cannot be started. No fleet is started.
 set -u
 program=$1
 directory=$(mktemp -d)
