--- a/bench/scale/experiment.cpp
+++ b/bench/scale/experiment.cpp
@@ -16,30 +16,30 @@
 template <class Value, size_t N>
 Value one_of(const TomlTable& table, const char* key,
              const std::array<std::pair<const char*, Value>, N>& words) {
-  const std::string text = table.text(key);
+  const std::string text = table.string(key);
   std::string allowed;
   for (const auto& [word, value] : words) {
     if (text == word) return value;
     allowed += std::string(allowed.empty() ? "" : ", ") + word;
   }
-  throw SettingsError(table.full(key) + ": must be one of " + allowed);
+  throw SettingsError(table.qualified_name(key) + ": must be one of " + allowed);
 }
 
 double share(const TomlTable& table, const char* key, double fallback) {
-  const double value = table.has(key) ? table.number(key, 0) : fallback;
-  if (value > 1) throw SettingsError(table.full(key) + ": must be at most 1");
+  const double value = table.contains(key) ? table.number(key, 0) : fallback;
+  if (value > 1) throw SettingsError(table.qualified_name(key) + ": must be at most 1");
   return value;
 }
 
 int count_or(const TomlTable& table, const char* key, int fallback) {
-  return table.has(key) ? table.whole_number(key, 0) : fallback;
+  return table.contains(key) ? table.integer(key, 0) : fallback;
 }
 
 JobClass read_class(const TomlTable& t) {
   using store::JobKind;
   using store::Rank;
   JobClass c;
-  c.shape.job_class = t.text("name");
+  c.shape.job_class = t.string("name");
   c.shape.kind =
       one_of<JobKind, 2>(t, "sort", {{{"array", JobKind::array}, {"service", JobKind::service}}});
   c.shape.rank = one_of<Rank, 4>(t, "rank",
@@ -49,13 +49,13 @@
                                    {"prod", Rank::production}}});
   c.shape.per_task = {t.positive("cpus"), t.number_or("gpus", 0), t.positive("memory_gb")};
   c.shape.image_gb = t.number_or("image_gb", 0);
-  c.shape.spread = t.flag_or("spread", false);
+  c.shape.spread = t.bool_or("spread", false);
   c.images = std::max(1, count_or(t, "images", 1));
-  c.least_tasks = t.whole_number("least_tasks", 1);
-  c.most_tasks = t.whole_number("most_tasks", c.least_tasks);
+  c.least_tasks = t.integer("least_tasks", 1);
+  c.most_tasks = t.integer("most_tasks", c.least_tasks);
   c.run_s = t.positive("run_s");
   if (c.shape.kind == JobKind::array) c.shape.estimate_s = c.run_s;
-  if (t.has("due_s")) c.shape.deadline_s = t.positive("due_s");
+  if (t.contains("due_s")) c.shape.deadline_s = t.positive("due_s");
   c.shape.checkpoint_s = t.number_or("checkpoint_s", 0);
   c.shape.save_s = t.number_or("save_s", 0);
   c.per_second = t.number_or("per_second", 0);
@@ -66,7 +66,7 @@
 
 MachinePool read_pool(const TomlTable& t, const std::vector<std::string>& zones) {
   MachinePool pool;
-  pool.type = {t.text("name"),
+  pool.type = {t.string("name"),
                {t.positive("cpus"), t.number_or("gpus", 0), t.positive("memory_gb")},
                t.number_or("cache_gb", 100),
                t.positive_or("fetch_gb_per_s", 1),
@@ -74,10 +74,10 @@
                t.positive("price"),
                t.positive("boot_s"),
                zones};
-  pool.capacity = t.whole_number("capacity", 1);
+  pool.capacity = t.integer("capacity", 1);
   pool.up_at_start = count_or(t, "up_at_start", 0);
   if (pool.up_at_start > pool.capacity * static_cast<int>(zones.size()))
-    throw SettingsError(t.full("up_at_start") + ": more than the capacity of all zones");
+    throw SettingsError(t.qualified_name("up_at_start") + ": more than the capacity of all zones");
   return pool;
 }
 
@@ -91,7 +91,7 @@
   trouble.at_s = t.positive("at_s");
   trouble.for_s = t.number_or("for_s", 0);
   trouble.share = share(t, "share", 1);
-  if (t.has("zone")) trouble.zone = t.text("zone");
+  if (t.contains("zone")) trouble.zone = t.string("zone");
   return trouble;
 }
 
@@ -101,43 +101,43 @@
   const toml::table parsed = protocol::parse_toml_file(path);
   const TomlTable root(parsed, "");
   Experiment e;
-  e.name = root.text("name");
+  e.name = root.string("name");
   e.seconds = root.positive("seconds");
   constexpr double kLongestSeconds = 1200;
   if (e.seconds > kLongestSeconds) throw SettingsError("seconds: must be at most 1200");
   e.seed = static_cast<uint64_t>(count_or(root, "seed", 1));
   auto& p = e.platform;
-  const TomlTable controllers = root.sub("controllers");
-  p.nodes = controllers.whole_number("count", 1);
+  const TomlTable controllers = root.subtable("controllers");
+  p.nodes = controllers.integer("count", 1);
   p.memory_mb = controllers.positive("memory_mb");
   p.cpu_share = controllers.positive("cores");
-  p.max_connections = controllers.whole_number("connections", 32);
-  const TomlTable state = root.sub("state");
+  p.max_connections = controllers.integer("connections", 32);
+  const TomlTable state = root.subtable("state");
   p.state_rps = state.positive("rps");
   p.state_write_rps = state.positive("write_rps");
   p.value_kb = state.positive("value_kb");
-  p.txn_ops = state.whole_number("txn_ops", 1);
+  p.txn_ops = state.integer("txn_ops", 1);
   e.state_latency_s = state.number_or("latency_ms", 0) / 1000;
   e.finished_jobs = count_or(state, "finished_jobs", 0);
-  const TomlTable cloud = root.sub("cloud");
+  const TomlTable cloud = root.subtable("cloud");
   p.cloud_rps = cloud.positive("rps");
   p.list_lag_s = cloud.number("list_lag_s", 0);
-  const TomlTable workers = root.sub("workers");
+  const TomlTable workers = root.subtable("workers");
   p.heartbeat_interval_s = workers.positive("report_s");
   p.lease_s = workers.positive("lease_s");
   p.cancel_s = workers.positive("cancel_s");
-  p.zones = workers.texts("zones");
-  const TomlTable teams = root.sub("teams");
-  e.team_count = teams.whole_number("count", 1);
+  p.zones = workers.strings("zones");
+  const TomlTable teams = root.subtable("teams");
+  e.team_count = teams.integer("count", 1);
   e.team_cpus = teams.number("cpus", 0);
   e.team_cpus_max = teams.positive("cpus_max");
-  const TomlTable users = root.sub("users");
+  const TomlTable users = root.subtable("users");
   e.unknown_polls_per_second = users.number_or("unknown_polls_per_second", 0);
   e.repeat_share = share(users, "repeat_share", 0);
   e.followed_ends_share = share(users, "followed_ends_share", 0);
-  for (const auto& t : root.list("machines")) e.pools.push_back(read_pool(t, p.zones));
-  for (const auto& t : root.list("classes")) e.classes.push_back(read_class(t));
-  for (const auto& t : root.list("troubles")) e.troubles.push_back(read_trouble(t));
+  for (const auto& t : root.tables("machines")) e.pools.push_back(read_pool(t, p.zones));
+  for (const auto& t : root.tables("classes")) e.classes.push_back(read_class(t));
+  for (const auto& t : root.tables("troubles")) e.troubles.push_back(read_trouble(t));
   if (e.pools.empty()) throw SettingsError("machines: none listed");
   if (e.classes.empty()) throw SettingsError("classes: none listed");
   return e;
--- a/src/protocol/operator_settings.cpp
+++ b/src/protocol/operator_settings.cpp
@@ -17,7 +17,8 @@
   return kNames[static_cast<int>(rank)];
 }
 
-/// The reader gives no line numbers, so each top-level form is cut out and parsed by itself.
+/// A top-level S-expression and its line. The S-expression parser reports no line numbers, so each
+/// top-level form is extracted and parsed separately.
 struct Form {
   std::string text;
   int line;
@@ -29,34 +30,34 @@
   int depth = 0;
   int start_line = 1;
   std::string current;
-  bool comment = false;
-  bool quoted = false;
+  bool in_comment = false;
+  bool in_string = false;
   for (const char character : text) {
-    if (comment) {
+    if (in_comment) {
       if (character != '\n') continue;
-      comment = false;
+      in_comment = false;
     }
-    if (character == '"') quoted = !quoted;
-    if (character == ';' && !quoted) {
-      comment = true;
+    if (character == '"') in_string = !in_string;
+    if (character == ';' && !in_string) {
+      in_comment = true;
       continue;
     }
     if (depth == 0 && character != '(' && !std::isspace(static_cast<unsigned char>(character)))
-      throw SettingsError("line " + std::to_string(line) + ": expected a form in parentheses");
-    if (character == '(' && !quoted && depth++ == 0) start_line = line;
+      throw SettingsError("line " + std::to_string(line) + ": expected a setting in parentheses");
+    if (character == '(' && !in_string && depth++ == 0) start_line = line;
     if (depth > 0) current += character == '\n' ? ' ' : character;
-    if (character == ')' && !quoted && depth > 0 && --depth == 0) {
+    if (character == ')' && !in_string && depth > 0 && --depth == 0) {
       forms.push_back({std::move(current), start_line});
       current.clear();
     }
     if (character == '\n') ++line;
   }
   if (depth != 0)
-    throw SettingsError("line " + std::to_string(start_line) + ": form is not closed");
+    throw SettingsError("line " + std::to_string(start_line) + ": missing closing parenthesis");
   return forms;
 }
 
-/// One form: a setting's name and what follows it.
+/// A parsed form: the name of a setting and its arguments.
 class Setting {
  public:
   Setting(const Form& form, const store::Settings& platform)
@@ -65,18 +66,18 @@
         platform_(platform),
         tree_(parse_sexp(text_.data(), text_.size()), destroy_sexp) {
     if (!tree_ || tree_->ty != SEXP_LIST || !tree_->list || tree_->list->ty != SEXP_VALUE)
-      throw fault("not a setting");
+      throw error_at_line("expected a list that begins with the name of a setting");
     name_ = tree_->list->val;
     arguments_ = tree_->list->next;
   }
 
   void apply(store::OperatorSettings& settings) const {
     if (name_ == "requeue-delay") {
-      settings.requeue_delay_s = one_positive();
+      settings.requeue_delay_s = single_positive_number();
     } else if (name_ == "scan-period") {
-      settings.scan_period_s = one_positive();
+      settings.scan_period_s = single_positive_number();
     } else if (name_ == "share-period") {
-      settings.share_period_s = one_positive();
+      settings.share_period_s = single_positive_number();
     } else if (name_ == "reclaim-guarantee") {
       settings.reclaim_guarantee = on_or_off();
     } else if (name_ == "consolidate") {
@@ -86,36 +87,36 @@
     } else if (name_ == "team-share") {
       settings.team_shares.push_back(team_share());
     } else {
-      throw fault("unknown setting '" + name_ + "'");
+      throw error_at_line("unknown setting '" + name_ + "'");
     }
   }
 
  private:
-  SettingsError fault(const std::string& why) const {
-    return SettingsError("line " + std::to_string(line_) + ": " + why);
+  SettingsError error_at_line(const std::string& reason) const {
+    return SettingsError("line " + std::to_string(line_) + ": " + reason);
   }
 
-  double number(const sexp_t* at) const {
+  double number(const sexp_t* node) const {
     double value = 0;
-    if (!at || at->ty != SEXP_VALUE) throw fault(name_ + ": a number is missing");
-    const char* end = at->val + std::char_traits<char>::length(at->val);
-    const auto [stopped_at, error] = std::from_chars(at->val, end, value);
+    if (!node || node->ty != SEXP_VALUE) throw error_at_line(name_ + ": missing number");
+    const char* end = node->val + std::char_traits<char>::length(node->val);
+    const auto [stopped_at, error] = std::from_chars(node->val, end, value);
     if (error != std::errc{} || stopped_at != end || !std::isfinite(value))
-      throw fault(name_ + ": '" + at->val + "' is no number");
+      throw error_at_line(name_ + ": '" + node->val + "' is not a number");
     return value;
   }
 
-  double one_positive() const {
+  double single_positive_number() const {
     const double value = number(arguments_);
-    if (value <= 0) throw fault(name_ + ": must be above 0");
-    if (arguments_->next) throw fault(name_ + ": takes one number");
+    if (value <= 0) throw error_at_line(name_ + ": must be greater than 0");
+    if (arguments_->next) throw error_at_line(name_ + ": expects exactly one number");
     return value;
   }
 
   bool on_or_off() const {
     const std::string word =
         arguments_ && arguments_->ty == SEXP_VALUE && !arguments_->next ? arguments_->val : "";
-    if (word != "on" && word != "off") throw fault(name_ + ": takes on or off");
+    if (word != "on" && word != "off") throw error_at_line(name_ + ": expects on or off");
     return word == "on";
   }
 
@@ -129,26 +130,27 @@
           ranks.push_back(rank);
           known = true;
         }
-      if (!known) throw fault("preemptible: ranks are low, normal, high and production");
+      if (!known)
+        throw error_at_line("preemptible: expects ranks: low, normal, high or production");
     }
     return ranks;
   }
 
   std::pair<std::string, double> team_share() const {
     if (!arguments_ || arguments_->ty != SEXP_VALUE)
-      throw fault("team-share: a team's name is missing");
+      throw error_at_line("team-share: missing team name");
     const std::string team = arguments_->val;
     if (std::none_of(platform_.teams.begin(), platform_.teams.end(),
                      [&](const auto& known) { return known.name == team; }))
-      throw fault("team-share: no team '" + team + "'");
+      throw error_at_line("team-share: unknown team '" + team + "'");
     const double share = number(arguments_->next);
     if (share <= 0 || arguments_->next->next)
-      throw fault("team-share: takes a team and one number above 0");
+      throw error_at_line("team-share: expects a team and one number greater than 0");
     return {team, share};
   }
 
   int line_;
-  std::string text_;  // the parser writes into it
+  std::string text_;  // not const: the parser writes into this buffer
   const store::Settings& platform_;
   std::unique_ptr<sexp_t, void (*)(sexp_t*)> tree_;
   std::string name_;
@@ -169,8 +171,8 @@
   try {
     return parse_operator_settings(read_file(path), platform);
   } catch (const SettingsError& error) {
-    const std::string why = error.what();
-    throw SettingsError(why.rfind(path, 0) == 0 ? why : path + ": " + why);
+    const std::string reason = error.what();
+    throw SettingsError(reason.rfind(path, 0) == 0 ? reason : path + ": " + reason);
   }
 }
 
--- a/src/protocol/read_file.h
+++ b/src/protocol/read_file.h
@@ -1,10 +1,10 @@
-// Reading a settings file as a whole.
+// Reads settings files.
 #pragma once
 #include <string>
 
 namespace rushtrestle::protocol {
 
-/// Throws SettingsError if the file can't be read.
+/// Returns the contents of a file. Throws SettingsError if it cannot be opened.
 std::string read_file(const std::string& path);
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,6 +1,6 @@
-// The platform's settings file (TOML) and the operators' own (S-expressions), read once at the
-// start by main. Names of fields are the platform's and the operators'; here they are mapped to the
-// standard terms of store::Settings and store::OperatorSettings.
+// Readers of the platform's settings file (TOML) and the operators' settings file (S-expressions).
+// Main reads both once at startup. The readers map the field names that the platform and the
+// operators use to the standard terms of store::Settings and store::OperatorSettings.
 #pragma once
 #include <stdexcept>
 #include <string>
@@ -9,17 +9,18 @@
 
 namespace rushtrestle::protocol {
 
-/// One line that names the field or the place at fault.
+/// The message is one line that names the invalid field or its position.
 struct SettingsError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Throws SettingsError.
+/// Throws SettingsError if the file cannot be read or a setting is missing or invalid.
 store::Settings read_settings(const std::string& path);
-/// Throws SettingsError, also for a team that the platform's settings don't have.
+/// Throws SettingsError if the file cannot be read, or a setting is invalid or names a team that
+/// the platform's settings do not have.
 store::OperatorSettings read_operator_settings(const std::string& path,
                                                const store::Settings& platform);
-/// The same for the text of a file.
+/// Parses the text of an operators' settings file. Throws SettingsError like the function above.
 store::OperatorSettings parse_operator_settings(const std::string& text,
                                                 const store::Settings& platform);
 
--- a/src/protocol/toml_table.cpp
+++ b/src/protocol/toml_table.cpp
@@ -17,35 +17,36 @@
   }
 }
 
-TomlTable TomlTable::sub(const char* key) const {
+TomlTable TomlTable::subtable(const char* key) const {
   const auto* table = table_[key].as_table();
   if (!table)
-    throw SettingsError(full(key) +
-                        (table_.contains(key) ? ": must be a table" : ": table missing"));
-  return {*table, full(key)};
+    throw SettingsError(qualified_name(key) +
+                        (table_.contains(key) ? ": must be a table" : ": missing table"));
+  return {*table, qualified_name(key)};
 }
 
-std::optional<TomlTable> TomlTable::sub_if(const char* key) const {
+std::optional<TomlTable> TomlTable::subtable_if_present(const char* key) const {
   if (!table_.contains(key)) return std::nullopt;
-  return sub(key);
+  return subtable(key);
 }
 
-bool TomlTable::flag_or(const char* key, bool fallback) const {
+bool TomlTable::bool_or(const char* key, bool fallback) const {
   if (!table_.contains(key)) return fallback;
   const auto flag = table_[key].value<bool>();
-  if (!flag) throw SettingsError(full(key) + ": must be true or false");
+  if (!flag) throw SettingsError(qualified_name(key) + ": must be true or false");
   return *flag;
 }
 
-std::string TomlTable::text(const char* key) const {
+std::string TomlTable::string(const char* key) const {
   const auto text = table_[key].value<std::string>();
-  if (!text || text->empty()) throw SettingsError(full(key) + ": text missing");
+  if (!text || text->empty())
+    throw SettingsError(qualified_name(key) + ": missing, empty or not a string");
   return *text;
 }
 
 std::optional<double> TomlTable::finite_number(const char* key) const {
   const auto number = table_[key].value<double>();
-  if (!number) throw SettingsError(full(key) + ": number missing");
+  if (!number) throw SettingsError(qualified_name(key) + ": missing or not a number");
   if (!std::isfinite(*number)) return std::nullopt;
   return *number;
 }
@@ -53,7 +54,7 @@
 double TomlTable::number(const char* key, double least) const {
   const auto number = finite_number(key);
   if (!number || *number < least)
-    throw SettingsError(full(key) + ": must be at least " + std::to_string(least));
+    throw SettingsError(qualified_name(key) + ": must be at least " + std::to_string(least));
   return *number;
 }
 
@@ -64,7 +65,7 @@
 double TomlTable::positive(const char* key) const {
   const auto number = finite_number(key);
   if (!number || *number <= 0)
-    throw SettingsError(full(key) + ": must be above " + std::to_string(0.0));
+    throw SettingsError(qualified_name(key) + ": must be greater than " + std::to_string(0.0));
   return *number;
 }
 
@@ -72,37 +73,37 @@
   return table_.contains(key) ? positive(key) : fallback;
 }
 
-int TomlTable::whole_number(const char* key, int least) const {
+int TomlTable::integer(const char* key, int least) const {
   const double value = number(key, least);
   constexpr double kMost = 1e9;
   if (value != std::floor(value) || value > kMost)
-    throw SettingsError(full(key) + ": must be a whole number");
+    throw SettingsError(qualified_name(key) + ": must be an integer of at most 1000000000");
   return static_cast<int>(value);
 }
 
-std::vector<TomlTable> TomlTable::list(const char* key) const {
+std::vector<TomlTable> TomlTable::tables(const char* key) const {
   std::vector<TomlTable> tables;
   const auto* array = table_[key].as_array();
   if (!array) return tables;
   for (size_t i = 0; i < array->size(); ++i) {
     const auto* table = (*array)[i].as_table();
-    const std::string name = full(key) + "[" + std::to_string(i) + "]";
+    const std::string name = qualified_name(key) + "[" + std::to_string(i) + "]";
     if (!table) throw SettingsError(name + ": must be a table");
     tables.emplace_back(*table, name);
   }
   return tables;
 }
 
-std::vector<std::string> TomlTable::texts(const char* key) const {
-  std::vector<std::string> texts;
+std::vector<std::string> TomlTable::strings(const char* key) const {
+  std::vector<std::string> strings;
   const auto* array = table_[key].as_array();
-  if (!array) throw SettingsError(full(key) + ": list missing");
+  if (!array) throw SettingsError(qualified_name(key) + ": missing or not an array");
   for (const auto& value : *array) {
     const auto text = value.value<std::string>();
-    if (!text) throw SettingsError(full(key) + ": must hold texts");
-    texts.push_back(*text);
+    if (!text) throw SettingsError(qualified_name(key) + ": must contain only strings");
+    strings.push_back(*text);
   }
-  return texts;
+  return strings;
 }
 
 }  // namespace rushtrestle::protocol
--- a/src/protocol/toml_table.h
+++ b/src/protocol/toml_table.h
@@ -1,7 +1,7 @@
-// Tables of a settings file in TOML, read with the full name of each field in every complaint.
+// Typed access to the tables of a TOML file.
 //
-// Invariant: what a TomlTable gives out is of the asked type and within the asked bounds; anything
-// else is a SettingsError that names the field. Used by platform_settings alone.
+// Invariant: a value that a TomlTable returns has the requested type and is within the requested
+// bounds. Any other value is a SettingsError with the field's qualified name.
 #pragma once
 #include <toml++/toml.h>
 
@@ -14,39 +14,45 @@
 
 namespace rushtrestle::protocol {
 
-/// Reads and parses a file; throws SettingsError that names the file and the line.
+/// Reads and parses a file. Throws SettingsError, for a parse error with the file and the line.
 toml::table parse_toml_file(const std::string& path);
 
-/// A table and its name. All members but `sub_if`, `has` and `full` throw SettingsError for a field
-/// that is missing (but for those with a fallback) or not as asked.
+/// A table and its qualified name. The accessors throw SettingsError for a field that has the wrong
+/// type or is out of bounds, and, unless stated otherwise, for a missing one. Accessors with a
+/// `fallback` return it for a missing field.
 class TomlTable {
  public:
   /// Keeps a reference to the table.
   TomlTable(const toml::table& table, std::string name) : table_(table), name_(std::move(name)) {}
 
-  TomlTable sub(const char* key) const;
-  /// None for a table that is absent.
-  std::optional<TomlTable> sub_if(const char* key) const;
-  bool has(const char* key) const { return table_.contains(key); }
-  /// The field's full name, for complaints.
-  std::string full(const char* key) const { return name_.empty() ? key : name_ + "." + key; }
-
-  bool flag_or(const char* key, bool fallback) const;
-  /// Not empty.
-  std::string text(const char* key) const;
-  /// At least `least`.
+  TomlTable subtable(const char* key) const;
+  /// Returns none for a missing table.
+  std::optional<TomlTable> subtable_if_present(const char* key) const;
+  bool contains(const char* key) const { return table_.contains(key); }
+  /// Returns the field's name with the names of its tables, for error messages.
+  std::string qualified_name(const char* key) const {
+    return name_.empty() ? key : name_ + "." + key;
+  }
+
+  bool bool_or(const char* key, bool fallback) const;
+  /// Returns a string that is not empty.
+  std::string string(const char* key) const;
+  /// Returns a finite number that is at least `least`.
   double number(const char* key, double least) const;
+  /// Returns a finite number that is at least 0.
   double number_or(const char* key, double fallback) const;
-  /// Above 0.
+  /// Returns a finite number greater than 0.
   double positive(const char* key) const;
   double positive_or(const char* key, double fallback) const;
-  int whole_number(const char* key, int least) const;
-  /// The tables of a list; empty for one that is absent.
-  std::vector<TomlTable> list(const char* key) const;
-  std::vector<std::string> texts(const char* key) const;
+  /// Returns an integer that is at least `least` and at most 1e9.
+  int integer(const char* key, int least) const;
+  /// Returns the tables of an array; empty if the field is missing or not an array.
+  std::vector<TomlTable> tables(const char* key) const;
+  /// Returns the strings of an array.
+  std::vector<std::string> strings(const char* key) const;
 
  private:
-  /// None for a number that is not finite.
+  /// Returns none for a number that is not finite.
   std::optional<double> finite_number(const char* key) const;
 
   const toml::table& table_;
--- a/src/store/job_record.cpp
+++ b/src/store/job_record.cpp
@@ -31,14 +31,14 @@
 // Keys of the JSON form of a job's record.
 constexpr const char* kSpec = "job";
 constexpr const char* kStatus = "status";
-constexpr const char* kWrittenAt = "at";  // a record: submitted; a cancellation: cancelled
+constexpr const char* kWrittenAt = "at";  // time of submission or of cancellation
 constexpr const char* kLastStart = "start";
 constexpr const char* kNotBefore = "not_before";
 constexpr const char* kAttempts = "tries";
 constexpr const char* kDone = "done";
 constexpr const char* kPlaced = "placed";
 
-// A placement is a list: task, machine, attempt, flags.
+// A placement is encoded as an array: task, machine, attempt, flags.
 constexpr int kRunningFlag = 1;
 constexpr int kStoppingFlag = 2;
 
@@ -63,10 +63,9 @@
 }
 
 const Placement* JobRecord::same_placement(const Placement& placement) const {
-  const Placement* mine = placement_of(placement.task);
-  const bool same =
-      mine && mine->attempt == placement.attempt && mine->machine == placement.machine;
-  return same ? mine : nullptr;
+  const Placement* own = placement_of(placement.task);
+  const bool same = own && own->attempt == placement.attempt && own->machine == placement.machine;
+  return same ? own : nullptr;
 }
 
 uint32_t JobRecord::running() const {
--- a/src/store/json.h
+++ b/src/store/json.h
@@ -1,4 +1,4 @@
-// The JSON type of records and messages, and what the record codecs share.
+// The JSON type of records and messages, and helpers shared by the record codecs.
 #pragma once
 #include <cstddef>
 #include <nlohmann/json.hpp>
@@ -7,12 +7,12 @@
 
 using Json = nlohmann::json;
 
-/// Bytes that a value takes by the state store's count, which is of its JSON form; with a space
-/// after each separator, as some writers put there.
+/// Returns the size in bytes of a value's JSON text, by which the state store limits values. Adds
+/// one byte for each ',' and ':', because some writers put a space after each separator.
 size_t stored_size(const Json& value);
 
-/// The value of a field that older records may lack. Throws Json::exception for one of another
-/// type.
+/// Returns a field that older records may lack, or `fallback`. Throws Json::exception for a value
+/// of the wrong type.
 template <class Value>
 Value get_or(const Json& json, const char* key, Value fallback) {
   const auto field = json.find(key);
--- a/src/store/machine_record.cpp
+++ b/src/store/machine_record.cpp
@@ -9,7 +9,7 @@
 constexpr const char* kAddress = "addr";
 constexpr const char* kType = "type";
 constexpr const char* kZone = "zone";
-constexpr const char* kSpot = "spot";  // of a machine: whether; of a type: the price
+constexpr const char* kSpot = "spot";  // machine: whether it is spot; machine type: spot price
 constexpr const char* kShard = "part";
 constexpr const char* kNextShard = "next";
 constexpr const char* kDrain = "drain";
@@ -27,6 +27,7 @@
 constexpr const char* kBootS = "boot";
 constexpr const char* kZones = "zones";
 
+// Key of the record of the machine types.
 constexpr const char* kTypes = "types";
 
 }  // namespace
--- a/src/store/records.cpp
+++ b/src/store/records.cpp
@@ -4,8 +4,10 @@
 
 namespace {
 
+// Keys of the JSON form of a lease holder's record.
 constexpr const char* kNode = "node";
 constexpr const char* kIncarnation = "inc";
+// Key of the record format.
 constexpr const char* kReadsFormat = "reads";
 
 }  // namespace
--- a/src/store/state_cache.cpp
+++ b/src/store/state_cache.cpp
@@ -8,14 +8,14 @@
 
 bool has_prefix(const std::string& text, const char* prefix) { return text.rfind(prefix, 0) == 0; }
 
-/// What stands after the prefix of a key; none for a key without it.
+/// Returns the part of a key after the prefix; none if the key does not begin with the prefix.
 std::optional<std::string> id_in_key(const std::string& key, const char* prefix) {
   if (!has_prefix(key, prefix)) return std::nullopt;
   return key.substr(std::char_traits<char>::length(prefix));
 }
 
 template <class Map>
-auto find_in(const Map& map, const std::string& key) -> decltype(&map.begin()->second) {
+auto find_value(const Map& map, const std::string& key) -> decltype(&map.begin()->second) {
   const auto found = map.find(key);
   return found == map.end() ? nullptr : &found->second;
 }
@@ -30,7 +30,7 @@
     apply_lease_holder(change);
     return true;
   }
-  // Other keys are never deleted.
+  // Only lease keys are ever deleted, so a deletion of any other key is ignored.
   if (!change.value) return true;
   if (const auto job = id_in_key(key, kJobPrefix)) {
     apply_job(*job, change);
@@ -50,38 +50,38 @@
 
 void StateCache::apply_job(const std::string& id, const Change& change) {
   if (change.mod_revision <= job_mod_revision(id)) return;
-  Versioned<JobRecord> fresh{job_record_from_json(*change.value), change.mod_revision};
-  // The record could not be written again: the cancellation beside it is its status.
-  if (fresh.record.status == JobStatus::open && cancel_revisions_.count(id))
-    fresh.record.status = JobStatus::cancelled;
-  const CancellationNews news = news_of_cancellation(id);
-  const auto& slot = jobs_[id] = std::move(fresh);
-  if (slot.record.status == JobStatus::cancelled)
-    confirm_cancellation({id, change.mod_revision}, news);
-  const bool over = slot.record.final_state() && slot.record.placed.empty();
+  Versioned<JobRecord> incoming{job_record_from_json(*change.value), change.mod_revision};
+  // A record that is too large to be written again stays open; the cancellation beside it decides.
+  if (incoming.record.status == JobStatus::open && cancel_revisions_.count(id))
+    incoming.record.status = JobStatus::cancelled;
+  const CancellationNovelty novelty = cancellation_novelty(id);
+  const auto& stored = jobs_[id] = std::move(incoming);
+  if (stored.record.status == JobStatus::cancelled)
+    confirm_cancellation({id, change.mod_revision}, novelty);
+  const bool finished = stored.record.final_state() && stored.record.placed.empty();
   finished_.erase(id);
-  if (over) {
+  if (finished) {
     live_.erase(id);
   } else {
     live_.insert(id);
   }
   listener_.on_job_changed(id);
-  if (over) finish_job(id);
+  if (finished) compact_finished_job(id);
 }
 
-// With its whole record each job that was ever accepted kept 540 bytes in every controller for
-// ever, and a fleet of 44,000 jobs a day filled one of 37 MB on the second day, which from then on
-// accepted nothing.
-void StateCache::finish_job(const std::string& id) {
+// Replaces the record of a finished job by the few fields that are still needed. With whole
+// records, each job ever accepted permanently took 540 bytes in every controller: a fleet of 44,000
+// jobs a day filled a controller of 37 MB on the second day, which then accepted no more jobs.
+void StateCache::compact_finished_job(const std::string& id) {
   const auto node = jobs_.extract(id);
-  const auto& last = node.mapped();
-  finished_[id] = {last.mod_revision, last.record.done.size(), last.record.status};
+  const auto& stored = node.mapped();
+  finished_[id] = {stored.mod_revision, stored.record.done.size(), stored.record.status};
 }
 
 void StateCache::apply_machine(const std::string& id, const Change& change) {
   if (const auto* old = machine(id); old && change.mod_revision <= old->mod_revision) return;
-  Versioned<MachineRecord> fresh{machine_record_from_json(*change.value), change.mod_revision};
-  const auto& stored = machines_[id] = std::move(fresh);
+  Versioned<MachineRecord> incoming{machine_record_from_json(*change.value), change.mod_revision};
+  const auto& stored = machines_[id] = std::move(incoming);
   const bool deleted = stored.record.phase == MachinePhase::deleted;
   if (deleted) {
     present_machines_.erase(id);
@@ -109,11 +109,11 @@
 }
 
 void StateCache::apply_lease_holder(const Change& change) {
-  auto& slot = lease_holders_[change.key];
-  if (change.mod_revision <= slot.mod_revision) return;
-  slot.mod_revision = change.mod_revision;
-  slot.present = change.value.has_value();
-  if (change.value) slot.record = lease_holder_from_json(*change.value);
+  auto& holder = lease_holders_[change.key];
+  if (change.mod_revision <= holder.mod_revision) return;
+  holder.mod_revision = change.mod_revision;
+  holder.present = change.value.has_value();
+  if (change.value) holder.record = lease_holder_from_json(*change.value);
   listener_.on_lease_holder_changed(change.key);
 }
 
@@ -125,19 +125,20 @@
   mod_revision = change.mod_revision;
   const auto found = jobs_.find(id);
   if (found == jobs_.end() || found->second.record.final_state()) return;
-  const CancellationNews news = news_of_cancellation(id);
+  const CancellationNovelty novelty = cancellation_novelty(id);
   found->second.record.status = JobStatus::cancelled;
-  confirm_cancellation({id, change.mod_revision}, news);
+  confirm_cancellation({id, change.mod_revision}, novelty);
   listener_.on_job_changed(id);
 }
 
-StateCache::CancellationNews StateCache::news_of_cancellation(const std::string& id) const {
-  return cancelled(id) ? CancellationNews::known_before : CancellationNews::first_known_now;
+StateCache::CancellationNovelty StateCache::cancellation_novelty(const std::string& id) const {
+  return cancelled(id) ? CancellationNovelty::already_known : CancellationNovelty::first_seen;
 }
 
-void StateCache::confirm_cancellation(const Cancellation& cancellation, CancellationNews news) {
+void StateCache::confirm_cancellation(const Cancellation& cancellation,
+                                      CancellationNovelty novelty) {
   unconfirmed_cancellations_.erase(cancellation.job);
-  if (news == CancellationNews::first_known_now) cancellations_.push_back(cancellation);
+  if (novelty == CancellationNovelty::first_seen) cancellations_.push_back(cancellation);
 }
 
 void StateCache::add_unconfirmed_cancellation(const Cancellation& cancellation) {
@@ -159,19 +160,19 @@
 // ---- queries ----
 
 const Versioned<JobRecord>* StateCache::job(const std::string& id) const {
-  return find_in(jobs_, id);
+  return find_value(jobs_, id);
 }
 
 const FinishedJob* StateCache::finished_job(const std::string& id) const {
-  return find_in(finished_, id);
+  return find_value(finished_, id);
 }
 
 const Versioned<MachineRecord>* StateCache::machine(const std::string& id) const {
-  return find_in(machines_, id);
+  return find_value(machines_, id);
 }
 
 const LeaseHolder* StateCache::lease_holder(const std::string& key) const {
-  return find_in(lease_holders_, key);
+  return find_value(lease_holders_, key);
 }
 
 uint64_t StateCache::job_mod_revision(const std::string& id) const {
@@ -181,7 +182,7 @@
 }
 
 uint64_t StateCache::cancel_mod_revision(const std::string& id) const {
-  const auto* mod_revision = find_in(cancel_revisions_, id);
+  const auto* mod_revision = find_value(cancel_revisions_, id);
   return mod_revision ? *mod_revision : 0;
 }
 
--- a/src/store/state_cache.h
+++ b/src/store/state_cache.h
@@ -1,16 +1,18 @@
-// StateCache: what the state store holds, as far as this controller has heard.
+// StateCache: this controller's copy of the state store, as far as the controller knows it.
 //
-// Fed by list-and-watch, by the outcomes of own writes, by single reads, and by peers (unconfirmed
-// cancellations); read by everything in coordination. Listeners are told of each change when the
-// cache holds it.
+// The cache is updated by list-and-watch, the outcomes of the controller's own writes, single reads
+// and peers (unconfirmed cancellations), and is read by all modules of coordination. The listener
+// is notified of each change after the cache has applied it.
 //
 // Invariants:
-// - Of each key the newest mod revision that was ever seen wins, so changes may be applied in any
-//   order and more than once.
-// - A job is in `jobs_` or in `finished_`, never in both (but while listeners are told that it is
-//   over), and never leaves the cache. A machine never leaves it either.
-// - `present_machines_` and `terminating_machines_` point into `machines_`, whose nodes stay.
-// - A job is in `cancellations_` at most once, from when its cancellation is first known.
+// - The newest mod revision ever seen of a key wins, so changes may be applied in any order and
+//   more than once.
+// - A job is in exactly one of `jobs_` and `finished_`. A job that is finished and holds no machine
+//   is in `jobs_` only while the listener is notified of that.
+// - A job or a machine never leaves the cache.
+// - `present_machines_` and `terminating_machines_` point to nodes of `machines_`, which are never
+//   erased.
+// - A job is in `cancellations_` at most once, added when its cancellation first becomes known.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -25,35 +27,35 @@
 
 namespace rushtrestle::store {
 
-/// What happened to a key.
+/// A change to a key of the state store.
 struct Change {
   std::string key;
   std::optional<Json> value;  // none: deleted
   uint64_t mod_revision = 0;
 };
 
-/// A record with the mod revision at which its key had this value.
+/// A record with the mod revision of the write that stored it.
 template <class Record>
 struct Versioned {
   Record record;
   uint64_t mod_revision = 0;
 };
 
-/// What is kept of a job that is over and holds no machine: all that an answer, a repeated
-/// submission and the exchange of cancellations need. Its record stays in the state store as it is.
+/// The fields kept of a job that has finished and holds no machine: those that answers, repeated
+/// submissions and the exchange of cancellations need. The record in the state store is unchanged.
 struct FinishedJob {
   uint64_t mod_revision = 0;
   uint32_t tasks_done = 0;
   JobStatus status = JobStatus::done;
 };
 
-/// A job known to be cancelled, with a mod revision at which its record says so.
+/// A cancelled job, with a mod revision at which the state store shows the cancellation.
 struct Cancellation {
   std::string job;
   uint64_t mod_revision = 0;
 };
 
-/// A lease key. The record is the last one that was seen, also when the key has been deleted.
+/// The state of a lease key. The record is the last one seen, even if the key has been deleted.
 struct LeaseHolder {
   LeaseHolderRecord record;
   uint64_t mod_revision = 0;
@@ -62,7 +64,7 @@
 
 class StateCache {
  public:
-  /// Is told when the cache holds something new of a job, a machine or a lease key.
+  /// Is notified after a job, a machine or a lease key has changed in the cache.
   struct Listener {
     virtual ~Listener() = default;
     virtual void on_job_changed(const std::string& id) = 0;
@@ -72,52 +74,55 @@
   /// Keeps a reference to the listener.
   explicit StateCache(Listener& listener) : listener_(listener) {}
 
-  /// The newer mod revision wins, so events, own writes and reads may arrive in any order.
-  /// A value that can't be read is passed over (false).
+  /// Applies a change unless a newer mod revision of its key is known: watch events, results of own
+  /// writes and reads may arrive in any order. Returns false for a value that cannot be decoded;
+  /// such a value is not stored.
   bool apply(const Change& change);
-  /// All changes up to this revision of the state store have been applied.
+  /// Records that all changes up to this revision of the state store have been applied.
   void reached(uint64_t revision) { revision_ = std::max(revision_, revision); }
   uint64_t revision() const { return revision_; }
 
-  /// What another controller's state cache holds: true, as a cancellation is never undone, though
-  /// not read here yet.
+  /// Adds a cancellation that a peer's state cache holds and this one has not read yet. It can be
+  /// trusted, because a cancellation is never undone.
   void add_unconfirmed_cancellation(const Cancellation& cancellation);
-  /// The record format that every controller reads, as the cluster leader has recorded it.
+  /// Returns the record format that every controller reads, as recorded by the cluster leader.
   uint64_t record_format() const { return record_format_; }
-  /// By the record, by the cancellation beside it, or by what a peer has told.
+  /// Whether the job's record, the cancellation beside it or a peer says that it is cancelled.
   bool cancelled(const std::string& id) const;
-  /// All that are known, in the order in which they became known.
+  /// Returns all known cancellations, in the order in which they became known.
   const std::vector<Cancellation>& cancellations() const { return cancellations_; }
 
-  /// None for a job that is over and holds no machine, but while listeners are told of that.
+  /// Returns null for an unknown job, and for a finished one that holds no machine (except while
+  /// the listener is notified that it has finished).
   const Versioned<JobRecord>* job(const std::string& id) const;
-  /// None for any other job.
+  /// Returns null for a job that has not finished, still holds machines, or is unknown.
   const FinishedJob* finished_job(const std::string& id) const;
   bool knows_job(const std::string& id) const { return job(id) || finished_job(id); }
   size_t known_jobs() const { return jobs_.size() + finished_.size(); }
-  /// Also of a deleted machine; none: never heard of.
+  /// Returns deleted machines, too; null for an unknown one.
   const Versioned<MachineRecord>* machine(const std::string& id) const;
-  /// None: never heard of. Look at `present`.
+  /// Returns null for an unknown key. A deleted key is returned with `present` false.
   const LeaseHolder* lease_holder(const std::string& key) const;
-  /// Of any key; 0: absent, as far as is known here.
+  /// Returns the mod revision of any key; 0 if the key is absent as far as this controller knows.
   uint64_t mod_revision_of(const std::string& key) const;
 
   using Machines = std::map<std::string, const Versioned<MachineRecord>*>;
-  /// Machines that are not deleted. Those that are stay known by `machine`, for ever: to look
-  /// through them, too, took longer with each machine that was ever provisioned.
+  /// Returns the machines that are not deleted. Deleted ones stay available by `machine` forever,
+  /// and iterating over them too took longer with each machine ever provisioned.
   const Machines& present_machines() const { return present_machines_; }
-  /// Of these, released ones and those marked for deletion: the cluster leader deletes them.
+  /// Returns the present machines that are released or marked for deletion: the cluster leader
+  /// deletes them.
   const Machines& terminating_machines() const { return terminating_machines_; }
-  /// The cloud's machine types, as the cluster leader has recorded them; empty: not yet.
+  /// Returns the cloud's machine types; empty until the cluster leader has recorded them.
   const std::vector<MachineType>& types() const { return types_; }
-  /// None for a name that the cloud doesn't have.
+  /// Returns null for a type that the cloud does not have.
   const MachineType* type(const std::string& name) const;
-  /// Jobs that are not over, or are over but still hold machines.
+  /// Returns the jobs that have not finished or still hold machines.
   const std::set<std::string>& live_jobs() const { return live_; }
 
  private:
-  /// Whether a cancellation tells something new.
-  enum class CancellationNews { first_known_now, known_before };
+  /// Whether a cancellation was known before the change that is being applied.
+  enum class CancellationNovelty { first_seen, already_known };
 
   void apply_job(const std::string& id, const Change& change);
   void apply_machine(const std::string& id, const Change& change);
@@ -128,13 +133,13 @@
 
   uint64_t job_mod_revision(const std::string& id) const;
   uint64_t cancel_mod_revision(const std::string& id) const;
-  void finish_job(const std::string& id);
-  CancellationNews news_of_cancellation(const std::string& id) const;
-  void confirm_cancellation(const Cancellation& cancellation, CancellationNews news);
+  void compact_finished_job(const std::string& id);
+  CancellationNovelty cancellation_novelty(const std::string& id) const;
+  void confirm_cancellation(const Cancellation& cancellation, CancellationNovelty novelty);
 
   Listener& listener_;
   uint64_t revision_ = 0;
-  // Not over, or still holding machines.
+  // Jobs that have not finished or still hold machines.
   std::unordered_map<std::string, Versioned<JobRecord>> jobs_;
   std::unordered_map<std::string, FinishedJob> finished_;  // all other jobs
   std::set<std::string> live_;                             // the keys of `jobs_`, in order
@@ -145,8 +150,8 @@
   std::vector<MachineType> types_;
   uint64_t types_revision_ = 0;
   std::vector<Cancellation> cancellations_;
-  std::set<std::string> unconfirmed_cancellations_;   // learned from peers, not in the record yet
-  std::map<std::string, uint64_t> cancel_revisions_;  // of the cancellations beside job records
+  std::set<std::string> unconfirmed_cancellations_;   // learned from peers, not read here yet
+  std::map<std::string, uint64_t> cancel_revisions_;  // mod revisions of `cancel/<id>` keys
   uint64_t record_format_ = 0;
   uint64_t format_revision_ = 0;
 };
--- a/src/store/task_set.h
+++ b/src/store/task_set.h
@@ -1,8 +1,9 @@
-// TaskSet: the numbers of a job's tasks that are done.
+// TaskSet: a set of task numbers, which holds the done tasks of a job.
 //
-// Invariant: `runs_` holds disjoint runs of numbers that do not touch one another (as few runs as
-// can be), and `size_` is the sum of their lengths. Tasks start in order, so few holes appear and a
-// job of 100,000 tasks still fits into one value of the state store. Part of JobRecord.
+// Invariant: `runs_` holds disjoint, non-adjacent runs of consecutive numbers (the minimum number
+// of runs), and `size_` is the sum of their lengths. Tasks start in order, so there are few gaps
+// and the record of a job with 100,000 tasks still fits into one value of the state store. TaskSet
+// is a part of JobRecord.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -14,20 +15,20 @@
 class TaskSet {
  public:
   bool contains(uint32_t task) const;
-  /// Does nothing if the set has the task.
+  /// Does nothing if the set already contains the task.
   void insert(uint32_t task);
   uint32_t size() const { return size_; }
-  /// The lowest task at or after `from` that is not in the set.
+  /// Returns the lowest task number at or after `from` that is not in the set.
   uint32_t first_missing(uint32_t from) const;
-  /// A flat list: first and last number of each run.
+  /// Returns a flat array with the first and last number of each run.
   Json to_json() const;
-  /// Throws Json::exception for what is no list of numbers.
+  /// Throws Json::exception for an element that is not a number.
   static TaskSet from_json(const Json& json);
-  /// First number of each run -> its last.
+  /// Returns the runs as a map of first to last number.
   const std::map<uint32_t, uint32_t>& runs() const { return runs_; }
 
  private:
-  std::map<uint32_t, uint32_t> runs_;  // first -> last
+  std::map<uint32_t, uint32_t> runs_;  // first to last number
   uint32_t size_ = 0;
 };
 
--- a/tests/cli_test.sh
+++ b/tests/cli_test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# What operators see on the command line: one clear line and exit 2 for bad settings.
+# Tests the command line: invalid settings give one line of error output and exit status 2.
 set -u
 program=$1
 dir=$(mktemp -d)
@@ -53,7 +53,7 @@
 "$program" --version | grep -q '^rushtrestle [0-9]' || fail "--version"
 "$program" --help | grep -q -- '--operator-settings' || fail "--help"
 "$program" --check-config --config "$dir/good.toml" > "$dir/out" || fail "good settings refused"
-grep -q valid "$dir/out" || fail "--check-config says nothing"
+grep -q valid "$dir/out" || fail "--check-config prints no verdict"
 expect_bad "missing file" "can't be read" --config "$dir/none.toml"
 grep -v lease_s "$dir/good.toml" > "$dir/bad.toml"
 expect_bad "missing field" "deployment.workers.lease_s" --config "$dir/bad.toml"
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -7,7 +7,7 @@
 namespace rushtrestle::store {
 namespace {
 
-TEST(Records, SurviveTheirForm) {
+TEST(Records, RoundTripThroughJson) {
   const Json json = to_json(sample_job_record());
   EXPECT_EQ(to_json(job_record_from_json(json)), json);
   const MachineRecord machine{
@@ -15,8 +15,8 @@
   EXPECT_EQ(to_json(machine_record_from_json(to_json(machine))), to_json(machine));
 }
 
-// Keys that stand for the whole cluster; their values are read by earlier versions, too.
-TEST(Records, OfTheClusterKeepTheirKeys) {
+// Earlier versions read these records, too, so the JSON keys in them must not change.
+TEST(Records, ClusterRecordsKeepTheirJsonKeys) {
   const MachineType type{"g", {8, 2, 64}, 100, 0.5, 3, 1, 40, {"a", "b"}};
   const Json types = types_record_to_json({type});
   EXPECT_EQ(types, (Json{{"types", to_json(std::vector<MachineType>{type})}}));
--- a/tests/scale_cli_test.sh
+++ b/tests/scale_cli_test.sh
@@ -21,7 +21,7 @@
 
 quickstart=$(dirname "$0")/../bench/scale/experiments/quickstart.toml
 expect 2 'experiment' # no file named
-expect 2 'name: text missing' --experiment /dev/null
+expect 2 'name: missing, empty or not a string' --experiment /dev/null
 sed 's/^seconds = 30/seconds = 5000/' "$quickstart" >"$directory/long.toml"
 expect 2 'seconds: must be at most 1200' --experiment "$directory/long.toml"
 sed 's/^rank = "prod"/rank = "highest"/' "$quickstart" >"$directory/rank.toml"
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,22 +10,22 @@
 namespace rushtrestle::protocol {
 namespace {
 
-store::Settings platform() {
+store::Settings platform_with_team_red() {
   store::Settings s;
   s.teams = {{"red", {}, {}}};
   return s;
 }
 
-std::string fault(const std::string& text) {
+std::string operator_settings_error(const std::string& text) {
   try {
-    parse_operator_settings(text, platform());
+    parse_operator_settings(text, platform_with_team_red());
   } catch (const SettingsError& e) {
     return e.what();
   }
   return "";
 }
 
-/// The platform's settings with further lines for the workers and the state service.
+/// Reads a file of platform settings with additional lines for the workers and the state store.
 store::Settings platform_settings(const std::string& workers, const std::string& state,
                                   const std::string& ops = "8") {
   const std::string path =
@@ -53,8 +53,8 @@
   }
 }
 
-std::string platform_fault(const std::string& workers, const std::string& state,
-                           const std::string& ops = "8") {
+std::string platform_settings_error(const std::string& workers, const std::string& state,
+                                    const std::string& ops = "8") {
   try {
     platform_settings(workers, state, ops);
   } catch (const SettingsError& e) {
@@ -63,8 +63,8 @@
   return "";
 }
 
-// The state service's limits may fall to those announced at any moment, without notice.
-TEST(Settings, ValuesAndTransactionsKeepToTheLowerOfNowAndNext) {
+// The state store may switch to the announced limits at any time, without notice.
+TEST(Settings, LimitsOfValuesAndTransactionsAreTheLowerOfCurrentAndNext) {
   const auto before = platform_settings("", "");
   EXPECT_EQ(before.txn_ops, 8);
   EXPECT_DOUBLE_EQ(before.value_kb, 4);
@@ -81,42 +81,44 @@
   EXPECT_DOUBLE_EQ(higher.value_kb, 4);
 }
 
-// A team of guests has 0 for everything: read as a limit of nothing, each of its jobs was refused
-// for good.
-TEST(Settings, ALimitOfNothingIsNoLimit) {
+// A best-effort team has 0 for all its limits. When 0 was read as a quota of nothing, every job of
+// the team was refused permanently.
+TEST(Settings, AQuotaOfZeroMeansNoLimit) {
   const auto team = platform_settings("", "").teams.front();
   EXPECT_DOUBLE_EQ(team.quota.cpus, 2);
   EXPECT_EQ(team.quota.gpus, store::kNoLimit);
   EXPECT_TRUE(team.has_guarantee());
 }
 
-TEST(Settings, NonsensicalLimitsAndGangTimesAreNamed) {
+TEST(Settings, ErrorsNameInvalidLimitsAndGangTimes) {
   const std::string next = "deployment.state.next";
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = 0\n"),
-            next + ".value_kb: must be above 0.000000");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nvalue_kb = \"2\"\n"),
-            next + ".value_kb: number missing");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 0\n"),
+  EXPECT_EQ(platform_settings_error("", "[deployment.state.next]\nvalue_kb = 0\n"),
+            next + ".value_kb: must be greater than 0.000000");
+  EXPECT_EQ(platform_settings_error("", "[deployment.state.next]\nvalue_kb = \"2\"\n"),
+            next + ".value_kb: missing or not a number");
+  EXPECT_EQ(platform_settings_error("", "[deployment.state.next]\ntxn_ops = 0\n"),
             next + ".txn_ops: must be at least 1.000000");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\ntxn_ops = 2.5\n"),
-            next + ".txn_ops: must be a whole number");
-  EXPECT_EQ(platform_fault("", "[deployment.state.next]\nwrite_rps = -1\n"),
-            next + ".write_rps: must be above 0.000000");
-  EXPECT_EQ(platform_fault("", "next = 2\n"), next + ": must be a table");
-  EXPECT_EQ(platform_fault("", "", "1e300"), "deployment.state.txn_ops: must be a whole number");
-  EXPECT_EQ(platform_fault("gang_wait_s = 0\n", ""),
-            "deployment.workers.gang_wait_s: must be above 0.000000");
-  EXPECT_EQ(platform_fault("gang_peer_s = -3.0\n", ""),
-            "deployment.workers.gang_peer_s: must be above 0.000000");
-  EXPECT_EQ(platform_fault("gang_peer_s = 8.0\ngang_wait_s = 50.0\n", "[deployment.state.next]\n"),
+  EXPECT_EQ(platform_settings_error("", "[deployment.state.next]\ntxn_ops = 2.5\n"),
+            next + ".txn_ops: must be an integer of at most 1000000000");
+  EXPECT_EQ(platform_settings_error("", "[deployment.state.next]\nwrite_rps = -1\n"),
+            next + ".write_rps: must be greater than 0.000000");
+  EXPECT_EQ(platform_settings_error("", "next = 2\n"), next + ": must be a table");
+  EXPECT_EQ(platform_settings_error("", "", "1e300"),
+            "deployment.state.txn_ops: must be an integer of at most 1000000000");
+  EXPECT_EQ(platform_settings_error("gang_wait_s = 0\n", ""),
+            "deployment.workers.gang_wait_s: must be greater than 0.000000");
+  EXPECT_EQ(platform_settings_error("gang_peer_s = -3.0\n", ""),
+            "deployment.workers.gang_peer_s: must be greater than 0.000000");
+  EXPECT_EQ(platform_settings_error("gang_peer_s = 8.0\ngang_wait_s = 50.0\n",
+                                    "[deployment.state.next]\n"),
             "");
 }
 
-TEST(Settings, OperatorsSettingsAreRead) {
+TEST(Settings, OperatorSettingsAreRead) {
   const auto s = parse_operator_settings(
       "; comment (with parentheses\n(requeue-delay 30)\n(scan-period 2.5) (share-period 7)\n"
       "(preemptible low\n normal)\n(team-share red 3)\n",
-      platform());
+      platform_with_team_red());
   EXPECT_DOUBLE_EQ(s.requeue_delay_s, 30);
   EXPECT_DOUBLE_EQ(s.scan_period_s, 2.5);
   EXPECT_DOUBLE_EQ(s.share_period_s, 7);
@@ -125,21 +127,25 @@
   EXPECT_EQ(s.team_shares[0].first, "red");
 }
 
-TEST(Settings, FaultsNameTheirLine) {
-  EXPECT_EQ(fault("\n\n(requeue-dealy 3)"), "line 3: unknown setting 'requeue-dealy'");
-  EXPECT_EQ(fault("(requeue-delay soon)"), "line 1: requeue-delay: 'soon' is no number");
-  EXPECT_EQ(fault("(requeue-delay 0)"), "line 1: requeue-delay: must be above 0");
-  EXPECT_EQ(fault("(requeue-delay)"), "line 1: requeue-delay: a number is missing");
-  EXPECT_EQ(fault("\n(scan-period 3"), "line 2: form is not closed");
-  EXPECT_EQ(fault("scan-period 3"), "line 1: expected a form in parentheses");
-  EXPECT_EQ(fault("(team-share green 1)"), "line 1: team-share: no team 'green'");
-  EXPECT_EQ(fault("(preemptible prod)"),
-            "line 1: preemptible: ranks are low, normal, high and production");
+TEST(Settings, ErrorsNameTheirLine) {
+  EXPECT_EQ(operator_settings_error("\n\n(requeue-dealy 3)"),
+            "line 3: unknown setting 'requeue-dealy'");
+  EXPECT_EQ(operator_settings_error("(requeue-delay soon)"),
+            "line 1: requeue-delay: 'soon' is not a number");
+  EXPECT_EQ(operator_settings_error("(requeue-delay 0)"),
+            "line 1: requeue-delay: must be greater than 0");
+  EXPECT_EQ(operator_settings_error("(requeue-delay)"), "line 1: requeue-delay: missing number");
+  EXPECT_EQ(operator_settings_error("\n(scan-period 3"), "line 2: missing closing parenthesis");
+  EXPECT_EQ(operator_settings_error("scan-period 3"), "line 1: expected a setting in parentheses");
+  EXPECT_EQ(operator_settings_error("(team-share green 1)"),
+            "line 1: team-share: unknown team 'green'");
+  EXPECT_EQ(operator_settings_error("(preemptible prod)"),
+            "line 1: preemptible: expects ranks: low, normal, high or production");
 }
 
-RC_GTEST_PROP(Settings, NoTextCrashesTheReader, (const std::string& text)) {
-  (void)fault(text);
-  (void)fault("(" + text + ")");
+RC_GTEST_PROP(Settings, NoTextCrashesTheParser, (const std::string& text)) {
+  (void)operator_settings_error(text);
+  (void)operator_settings_error("(" + text + ")");
 }
 
 }  // namespace
--- a/tests/state_cache_test.cpp
+++ b/tests/state_cache_test.cpp
@@ -26,11 +26,11 @@
   record.placed.clear();
   EXPECT_TRUE(state_cache.apply({"job/job-7", to_json(record), 9}));
   EXPECT_TRUE(state_cache.apply({"job/job-7", to_json(sample_job_record()), 8}));
-  ASSERT_TRUE(state_cache.finished_job("job-7"));  // it places nothing
+  ASSERT_TRUE(state_cache.finished_job("job-7"));  // its record has no placements
   EXPECT_EQ(state_cache.finished_job("job-7")->status, JobStatus::cancelled);
   EXPECT_EQ(state_cache.finished_job("job-7")->mod_revision, 9u);
   EXPECT_EQ(listener.jobs, 1);
-  // A deletion that comes after an older write of the same key must hold.
+  // An older write that arrives after the deletion of its key must not undo the deletion.
   const Json lease_holder = to_json(LeaseHolderRecord{"n", "i"});
   state_cache.apply({"part/0", lease_holder, 5});
   state_cache.apply({"part/0", std::nullopt, 7});
@@ -38,8 +38,9 @@
   EXPECT_EQ(state_cache.mod_revision_of("part/0"), 0u);
 }
 
-// A whole record of each job that was ever accepted filled a small controller within two days.
-TEST(StateCache, AFinishedJobKeepsWhatAnswersNeedAndNoMore) {
+// When the cache kept the whole record of every accepted job, a small controller ran out of memory
+// within two days.
+TEST(StateCache, AFinishedJobKeepsOnlyTheFieldsThatAnswersNeed) {
   CountingListener listener;
   StateCache state_cache(listener);
   auto record = sample_job_record();
@@ -55,15 +56,15 @@
   EXPECT_EQ(state_cache.mod_revision_of("job/job-7"), 12u);
   EXPECT_TRUE(state_cache.knows_job("job-7"));
   EXPECT_TRUE(state_cache.live_jobs().empty());
-  state_cache.add_unconfirmed_cancellation({"job-7", 5});  // an older word than the record
+  state_cache.add_unconfirmed_cancellation({"job-7", 5});  // older than the record
   EXPECT_FALSE(state_cache.cancelled("job-7"));
-  state_cache.apply({"job/job-7", to_json(sample_job_record()), 8});  // read late
+  state_cache.apply({"job/job-7", to_json(sample_job_record()), 8});  // a late read
   EXPECT_FALSE(state_cache.job("job-7"));
   EXPECT_LE(sizeof(std::pair<const std::string, FinishedJob>) + 4 * sizeof(void*), 100u);
 }
 
-// A peer's word of a cancellation goes before our record only where the record is older.
-TEST(StateCache, UnconfirmedCancellationsAreKnownOnceAndContradictedByNewerRecordsOnly) {
+// A cancellation reported by a peer overrides the record in the cache only if the record is older.
+TEST(StateCache, UnconfirmedCancellationsAreListedOnceAndOverriddenOnlyByNewerRecords) {
   struct RecordingListener : StateCache::Listener {
     std::vector<std::string> changed;
     void on_job_changed(const std::string& id) override { changed.push_back(id); }
@@ -85,18 +86,18 @@
   state_cache.add_unconfirmed_cancellation({"job-1", 12});
   EXPECT_TRUE(state_cache.cancelled("job-1"));
   EXPECT_EQ(listener.changed.size(), 2u);
-  write(JobStatus::open, 11);  // read late
+  write(JobStatus::open, 11);  // a late read
   EXPECT_TRUE(state_cache.cancelled("job-1"));
   write(JobStatus::cancelled, 12);
   EXPECT_TRUE(state_cache.cancelled("job-1"));
-  state_cache.add_unconfirmed_cancellation({"job-2", 13});  // submitted after our last look
+  state_cache.add_unconfirmed_cancellation({"job-2", 13});  // a job not read here yet
   EXPECT_TRUE(state_cache.cancelled("job-2"));
   ASSERT_EQ(state_cache.cancellations().size(), 2u);
   EXPECT_EQ(state_cache.cancellations()[0].job, "job-1");
   EXPECT_EQ(state_cache.cancellations()[1].mod_revision, 13u);
 }
 
-TEST(StateCache, UnreadableRecordsLeaveNoTrace) {
+TEST(StateCache, MalformedRecordsAreNotStored) {
   CountingListener listener;
   StateCache state_cache(listener);
   EXPECT_FALSE(state_cache.apply({"job/job-7", Json{{"job", 3}}, 4}));
--- a/tests/task_set_test.cpp
+++ b/tests/task_set_test.cpp
@@ -10,25 +10,25 @@
 namespace {
 
 RC_GTEST_PROP(TaskSet, BehavesLikeASet, ()) {
-  TaskSet runs;
-  std::set<uint32_t> plain;
+  TaskSet set;
+  std::set<uint32_t> reference;
   for (const auto t :
        *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange<uint32_t>(0, 60))) {
-    runs.insert(t);
-    plain.insert(t);
+    set.insert(t);
+    reference.insert(t);
   }
-  const auto back = TaskSet::from_json(runs.to_json());
-  RC_ASSERT(back.size() == plain.size());
+  const auto decoded = TaskSet::from_json(set.to_json());
+  RC_ASSERT(decoded.size() == reference.size());
   for (uint32_t t = 0; t < 62; ++t) {
-    RC_ASSERT(back.contains(t) == (plain.count(t) == 1));
+    RC_ASSERT(decoded.contains(t) == (reference.count(t) == 1));
     uint32_t missing = t;
-    while (plain.count(missing)) ++missing;
-    RC_ASSERT(back.first_missing(t) == missing);
+    while (reference.count(missing)) ++missing;
+    RC_ASSERT(decoded.first_missing(t) == missing);
   }
-  // Runs are as few as can be, or records would outgrow their limit.
+  // The number of runs is minimal; otherwise job records would exceed their size limit.
   size_t expected = 0;
-  for (const auto t : plain) expected += t == 0 || !plain.count(t - 1);
-  RC_ASSERT(back.runs().size() == expected);
+  for (const auto t : reference) expected += t == 0 || !reference.count(t - 1);
+  RC_ASSERT(decoded.runs().size() == expected);
 }
 
 }  // namespace
