--- a/bench/scale/state_server.cpp
+++ b/bench/scale/state_server.cpp
@@ -122,7 +122,7 @@
     return {{"requests", c.requests},
             {"transactions", c.transactions},
             {"conflicts", c.conflicts},
-            {"puts_asked", c.puts_asked},
+            {"puts_asked", c.puts_requested},
             {"puts", c.puts},
             {"refused_for_rate", c.refused_for_rate},
             {"revision", service_.revision()},
--- a/tests/best_effort_test.cpp
+++ b/tests/best_effort_test.cpp
@@ -38,8 +38,8 @@
   ClusterSimulation w(options);
   w.submit(array_of("job-1", "guest", 40, 10), 2);
   w.run_until(200);
-  EXPECT_TRUE(w.broken.empty());
-  EXPECT_EQ(w.told("job-1").value_or(""), "done");
+  EXPECT_TRUE(w.violations.empty());
+  EXPECT_EQ(w.last_reported_status("job-1").value_or(""), "done");
 }
 
 store::JobSpec gateway_of(const std::string& id, const std::string& team) {
@@ -62,7 +62,7 @@
   for (int i = 1;; ++i) {
     char key[32];
     std::snprintf(key, sizeof key, "machine/n-%06d", i);
-    const auto* record = w.stored(key);
+    const auto* record = w.stored_value(key);
     if (!record) return ordinary;
     if (!record->value("spot", false)) ++ordinary;
   }
@@ -77,7 +77,7 @@
   ClusterSimulation w(options);
   w.submit(array_of("job-1", "guest", 400, 40), 2);
   w.run_until(100);
-  EXPECT_TRUE(w.broken.empty());
+  EXPECT_TRUE(w.violations.empty());
   EXPECT_GT(w.running("job-1"), 0U);
   EXPECT_EQ(ordinary_machines(w), 0U);
 }
@@ -102,7 +102,7 @@
     w.at(2 + 10 * i + 5, [&w, &late, id] { late += w.running(id) < 2 ? 1 : 0; });
   }
   w.run_until(230);
-  EXPECT_TRUE(w.broken.empty());
+  EXPECT_TRUE(w.violations.empty());
   EXPECT_GT(w.running("job-1"), 0U);
   EXPECT_LE(late, 1U);
 }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -26,20 +26,22 @@
   return s;
 }
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) {
+  return w.violations.empty() ? "" : w.violations.front();
+}
 
 TEST(Core, AnArrayRunsAServiceStaysAndACancellationEndsIt) {
   ClusterSimulation w({});
   w.submit(spec("job-1", store::JobKind::array, 6, 2, 8), 3);
   w.submit(spec("job-2", store::JobKind::service, 4, 2, 0), 3);
   w.run_until(60);
-  EXPECT_EQ(w.told("job-1"), "done");
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
   EXPECT_EQ(w.running("job-2"), 4u);
   w.cancel("job-2", 61);
   w.run_until(80);
-  EXPECT_EQ(w.told("job-2"), "cancelled");
+  EXPECT_EQ(w.last_reported_status("job-2"), "cancelled");
   EXPECT_EQ(w.running("job-2"), 0u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // The owner had noted a job's last end, but not written it, when the cancellation was told:
@@ -56,7 +58,7 @@
     w.run_until(20 + static_cast<double>(seed) * 0.5);
     w.state_outage(12);
     w.run_until(80);
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -64,12 +66,12 @@
 // dropped: the placement stood in the owner's memory for ever, and its task never started.
 TEST(Core, WritesRefusedForTheRateAreNotLost) {
   ClusterSimulation w({});
-  w.limit_state(60);
+  w.throttle_state(60);
   for (int i = 0; i < 20; ++i)
     w.submit(spec("job-" + std::to_string(i), store::JobKind::service, 2, 1, 0), 2 + i);
   w.run_until(80);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << i;
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // It also showed that a job whose last write had no answer was taken up again from its record, with
@@ -95,8 +97,9 @@
     }
     w.run_until(160);
     for (int i = 1; i <= kJobs; ++i)
-      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << ", seed " << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
+      EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done")
+          << i << ", seed " << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w) << ", seed " << seed;
   }
   EXPECT_GE(in_time, 65 * kSeeds);  // three in four requests are fast
 }
@@ -105,7 +108,7 @@
   ClusterSimulation w({});
   w.submit(spec("job-1", store::JobKind::array, 8, 4, 10), 3);
   w.run_until(50);
-  EXPECT_EQ(w.told("job-1"), "done");
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
   EXPECT_GT(w.machines_up(), 0u);
   w.run_until(200);
   EXPECT_EQ(w.machines_up(), 0u);
@@ -119,10 +122,10 @@
   EXPECT_EQ(w.running("job-2"), 2u);
   for (int n = 0; n < 3; ++n) w.kill_node(n, 5);
   w.run_until(110);
-  EXPECT_EQ(w.told("job-1"), "done");
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
   EXPECT_EQ(w.running("job-2"), 2u);
   EXPECT_EQ(w.starts_of("job-2"), 2u) << "services ran on while the controllers were away";
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, ARunningFleetSurvivesAnOutageOfTheStateService) {
@@ -135,8 +138,8 @@
   EXPECT_EQ(w.starts_of("job-2"), 4u);
   w.submit(spec("job-3", store::JobKind::array, 2, 2, 5), 131);
   w.run_until(170);
-  EXPECT_EQ(w.told("job-3"), "done");
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_EQ(w.last_reported_status("job-3"), "done");
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // All controllers restart in an outage, and nobody knows the keys. The fleet lives on if the
@@ -151,7 +154,7 @@
   w.run_until(120);
   EXPECT_EQ(w.running("job-2"), 4u);
   EXPECT_EQ(w.starts_of("job-2"), 4u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // This test demanded before that the fleet live on through 40 s of outage in which all controllers
@@ -172,13 +175,13 @@
     w.cut("node-2", "node-1", 1, false);
     w.cancel("job-3", 40.5, 2);
     w.run_until(41);
-    ASSERT_TRUE(w.cancel_told("job-3"));
+    ASSERT_TRUE(w.cancellation_confirmed("job-3"));
     w.state_outage(60);
     for (int n = 0; n < 3; ++n) w.kill_node(n, 0.3);
     w.run_until(135);
     EXPECT_EQ(w.running("job-3"), 0u);
     EXPECT_EQ(w.running("job-2"), 4u);
-    EXPECT_TRUE(w.broken.empty()) << first(w) << " seed " << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w) << " seed " << seed;
   }
 }
 
@@ -200,7 +203,7 @@
     w.run_until(120);
     EXPECT_EQ(w.running("job-2"), 4u) << run;
     EXPECT_EQ(w.starts_of("job-2"), 4u) << run;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -227,7 +230,7 @@
     w.run_until(140);
     for (int i = 0; i < 8; ++i)
       EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << ", seed " << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w) << ", seed " << seed;
   }
   EXPECT_LE(
       lost * 10,
@@ -243,7 +246,7 @@
     w.run_until(w.now() + 60);
     EXPECT_EQ(w.running("job-2"), 4u) << "with node " << n << " refused";
   }
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, ADeadMachinesTasksRunElsewhere) {
@@ -253,7 +256,7 @@
   w.kill_machine(0);
   w.run_until(90);
   EXPECT_EQ(w.running("job-2"), 4u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A machine that hears nothing though its reports come through must not hold its tasks for ever.
@@ -264,7 +267,7 @@
   w.cut_machine(0, 100, true, true);
   w.run_until(100);
   EXPECT_EQ(w.running("job-2"), 4u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // Two zones that can't reach each other: workers that the others sent to a holder out of their
@@ -287,7 +290,7 @@
     w.run_until(120);
     EXPECT_EQ(w.running("job-2"), 8u);
     EXPECT_EQ(w.starts_of("job-2"), 8u);
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -324,7 +327,7 @@
     EXPECT_EQ(w.running("job-2"), kTasks) << n;
     started_again += w.starts_of("job-2") - starts;
     EXPECT_EQ(w.running("job-3") + w.running("job-4"), 0u) << n;
-    EXPECT_TRUE(w.broken.empty()) << first(w) << ", world " << n;
+    EXPECT_TRUE(w.violations.empty()) << first(w) << ", world " << n;
   }
   EXPECT_LE(started_again, kWorlds * kTasks / 10);
   EXPECT_GE(untouched, kWorlds * 2 / 3);
@@ -341,7 +344,7 @@
   for (int i = 0; i < 3; ++i) w.cancel("job-" + std::to_string(i), 40.1 + i);
   w.run_until(200);
   EXPECT_EQ(w.running("job-3"), 4u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // The holder stands still for longer than every lease: others take its part over, and what it does
@@ -359,7 +362,7 @@
     EXPECT_EQ(w.running("job-2"), 6u) << for_s;
     EXPECT_EQ(w.running("job-3"), 0u) << for_s;
     EXPECT_EQ(w.running("job-4"), 2u) << for_s;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -373,34 +376,35 @@
   w.cancel("job-2", 41);
   w.run_until(140);
   EXPECT_EQ(w.running("job-2"), 0u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, ASickMachineIsLeftAlone) {
   ClusterSimulation w({});
   w.submit(spec("job-1", store::JobKind::service, 2, 2, 0), 3);
   w.run_until(40);
-  w.sick_machine(0, 300);
-  w.sick_machine(1, 300);
+  w.fail_tasks_on_machine(0, 300);
+  w.fail_tasks_on_machine(1, 300);
   for (int i = 3; i < 9; ++i)
     w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 2, 2, 5), 41);
   w.run_until(140);
-  for (int i = 3; i < 9; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  for (int i = 3; i < 9; ++i)
+    EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, LateCopiesOfReportsChangeNothing) {
   ClusterSimulation w({});
-  w.delay_report_copies(200, 20);  // well over a lease
+  w.duplicate_heartbeats(200, 20);  // well over a lease
   w.submit(spec("job-1", store::JobKind::array, 12, 2, 6), 3);
   w.submit(spec("job-2", store::JobKind::service, 4, 2, 0), 3);
   w.run_until(50);
   w.kill_node(0, 5);
   w.run_until(150);
-  EXPECT_EQ(w.told("job-1"), "done");
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
   EXPECT_EQ(w.running("job-2"), 4u);
   EXPECT_EQ(w.starts_of("job-2"), 4u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, AnArrayOfManyTasksFitsItsRecord) {
@@ -409,8 +413,8 @@
   s.per_task = {0.05, 0, 0.01};
   w.submit(s, 3);
   w.run_until(400);
-  EXPECT_EQ(w.told("job-1"), "done");
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // Each new placement is conditioned on its machine, and a transaction takes 32 conditions: a task
@@ -431,7 +435,7 @@
   w.submit(large, 39);
   w.run_until(50);
   EXPECT_EQ(w.running("job-1"), 40u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 TEST(Core, ATeamNeverExceedsItsLimit) {
@@ -439,8 +443,9 @@
   for (int i = 1; i <= 30; ++i)
     w.submit(spec("job-" + std::to_string(i), store::JobKind::array, 10, 4, 6), 3 + i * 0.1);
   w.run_until(400);
-  for (int i = 1; i <= 30; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  for (int i = 1; i <= 30; ++i)
+    EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A worker that reports a gang's state for an array's task, or attempts that nobody gave, changes
@@ -450,14 +455,14 @@
   w.submit(spec("job-1", store::JobKind::array, 3, 2, 20), 3);
   w.run_until(18);
   ASSERT_EQ(w.running("job-1"), 3u);
-  const auto before = *w.stored("job/job-1");
-  for (int n = 0; n < 3; ++n) w.report_nonsense("job-1", n);
+  const auto before = *w.stored_value("job/job-1");
+  for (int n = 0; n < 3; ++n) w.report_invalid_tasks("job-1", n);
   w.run_until(20);
-  EXPECT_EQ(*w.stored("job/job-1"), before);
+  EXPECT_EQ(*w.stored_value("job/job-1"), before);
   w.run_until(60);
-  EXPECT_EQ(w.told("job-1"), "done");
+  EXPECT_EQ(w.last_reported_status("job-1"), "done");
   EXPECT_EQ(w.starts_of("job-1"), 3u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // All tasks of a gang or a service together have to fit into the team's limit; a job that is known
@@ -492,7 +497,7 @@
   w.run_until(9);
   for (int i = 1; i <= number; ++i) {
     EXPECT_EQ(w.accepted("job-" + std::to_string(i)), cases[i - 1].fits) << i;
-    EXPECT_EQ(w.refused_for_good("job-" + std::to_string(i)), !cases[i - 1].fits) << i;
+    EXPECT_EQ(w.permanently_rejected("job-" + std::to_string(i)), !cases[i - 1].fits) << i;
   }
 }
 
--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -48,7 +48,7 @@
     for (int i = 1;; ++i) {
       char key[32];
       std::snprintf(key, sizeof key, "machine/n-%06d", i);
-      const auto* record = cluster.stored(key);
+      const auto* record = cluster.stored_value(key);
       if (!record) break;
       if (record->at("phase") == static_cast<int>(store::MachinePhase::marked_for_deletion))
         marked.insert(key);
@@ -70,17 +70,19 @@
   for (int i = 0; i < kFailingJobs; ++i) {
     const std::string id = "job-" + std::to_string(10 + i);
     cluster.submit(array_job(id, 12), 20 + 3 * i);
-    cluster.at(20 + 3 * i, [&cluster, id] { cluster.break_job(id); });
+    cluster.at(20 + 3 * i, [&cluster, id] { cluster.fail_all_tasks_of(id); });
     cluster.cancel(id, 170);
   }
   for (int i = 0; i < 12; ++i)
     cluster.submit(array_job("job-" + std::to_string(30 + i), 2), 21 + 8 * i);
   EXPECT_TRUE(machines_marked_for_deletion_until(cluster, 230).empty());
-  EXPECT_TRUE(cluster.broken.empty());
+  EXPECT_TRUE(cluster.violations.empty());
   for (int i = 0; i < 12; ++i)
-    EXPECT_EQ(cluster.told("job-" + std::to_string(30 + i)).value_or(""), "done") << i;
+    EXPECT_EQ(cluster.last_reported_status("job-" + std::to_string(30 + i)).value_or(""), "done")
+        << i;
   for (int i = 0; i < kFailingJobs; ++i) {
-    EXPECT_EQ(cluster.told("job-" + std::to_string(10 + i)).value_or(""), "cancelled");
+    EXPECT_EQ(cluster.last_reported_status("job-" + std::to_string(10 + i)).value_or(""),
+              "cancelled");
     EXPECT_LE(cluster.starts_of("job-" + std::to_string(10 + i)),
               40U);  // retrying all twelve tasks each time would take about a hundred starts
   }
@@ -91,13 +93,14 @@
   auto first = array_job("job-1", 2);
   first.estimate_s = 30;
   cluster.submit(first, 3);
-  cluster.at(25, [&cluster] { cluster.sicken_machine_of("job-1", 1000); });
+  cluster.at(25, [&cluster] { cluster.fail_tasks_on_machine_of("job-1", 1000); });
   for (int i = 0; i < 8; ++i)
     cluster.submit(array_job("job-" + std::to_string(10 + i), 3), 26 + 5 * i);
   EXPECT_FALSE(machines_marked_for_deletion_until(cluster, 120).empty());
-  EXPECT_TRUE(cluster.broken.empty());
+  EXPECT_TRUE(cluster.violations.empty());
   for (int i = 0; i < 8; ++i)
-    EXPECT_EQ(cluster.told("job-" + std::to_string(10 + i)).value_or(""), "done") << i;
+    EXPECT_EQ(cluster.last_reported_status("job-" + std::to_string(10 + i)).value_or(""), "done")
+        << i;
 }
 
 }  // namespace
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -10,7 +10,8 @@
 
 RC_GTEST_PROP(Failures, NoScheduleOfTroublesBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(faults()));
+  const auto schedule =
+      *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(generated_fault()));
   ClusterSimulation::Options options;
   options.seed = seed;
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
@@ -23,20 +24,20 @@
     if (rng() % 4 == 0)
       w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
   }
-  for (const auto& t : schedule) w.at(t.at, [&w, t] { play(w, t); });
+  for (const auto& t : schedule) w.at(t.at, [&w, t] { inject(w, t); });
   w.run_until(330);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
     if (w.cancelled_by_user(id)) continue;
-    RC_ASSERT(w.told(id).has_value());
-    const auto* record = w.stored("job/" + id);
+    RC_ASSERT(w.last_reported_status(id).has_value());
+    const auto* record = w.stored_value("job/" + id);
     RC_LOG() << id << " " << record->dump() << "\n";
     for (const auto& p : record->value("placed", store::Json::array()))
-      RC_LOG() << "  " << w.stored("machine/" + p[1].get<std::string>())->dump() << "\n";
-    RC_ASSERT(*w.told(id) == "done" || w.running(id) > 0);
+      RC_LOG() << "  " << w.stored_value("machine/" + p[1].get<std::string>())->dump() << "\n";
+    RC_ASSERT(*w.last_reported_status(id) == "done" || w.running(id) > 0);
   }
 }
 
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -25,7 +25,9 @@
   return s;
 }
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) {
+  return w.violations.empty() ? "" : w.violations.front();
+}
 
 TEST(Gangs, RunWholeAndAreRentedForWhole) {
   ClusterSimulation w({});
@@ -39,10 +41,11 @@
   auto too_large = gang("job-4", 40, 4, 10);  // 160 CPUs of 144
   w.submit(too_large, 5);
   w.run_until(120);
-  for (const char* id : {"job-1", "job-2", "job-3"}) EXPECT_EQ(w.told(id), "done") << id;
+  for (const char* id : {"job-1", "job-2", "job-3"})
+    EXPECT_EQ(w.last_reported_status(id), "done") << id;
   EXPECT_FALSE(w.accepted("job-4"));
   EXPECT_EQ(w.starts_of("job-1"), 4u) << "all at once, under one attempt";
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A member's machine dies while the gang runs: the others end by themselves, and the next attempt
@@ -57,8 +60,8 @@
     ASSERT_EQ(w.running("job-1"), 4u);
     w.kill_machine(seed % 4);
     w.run_until(150);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -74,9 +77,9 @@
     ASSERT_EQ(w.running("job-1"), 4u);
     w.cut_machine(seed % 4, 300, false, false);
     w.run_until(w.now() + 9);  // users ask every five seconds
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
     w.run_until(w.now() + 60);
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -102,9 +105,9 @@
              30);  // zone a has 6 of 16 free thrice, b has room for two a machine
     w.submit(gang("job-2", 2, 14, 10), 31);
     w.run_until(110);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_EQ(w.told("job-2"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-2"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -125,8 +128,9 @@
     w.at(falls_at + 1, [&w] { w.kill_node(1, 5); });
     w.run_until(240);
     for (int i = 1; i < 8; ++i)
-      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " falls at " << falls_at;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+      EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done")
+          << i << " falls at " << falls_at;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -137,7 +141,7 @@
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     ClusterSimulation::Options options;
     options.seed = seed;
-    options.uneven = 0.03;  // one task after the other
+    options.runtime_increase_per_task = 0.03;  // one task after the other
     ClusterSimulation w(options);
     auto large = gang("job-1", 60, 1, 25);
     large.kind = store::JobKind::array;
@@ -145,15 +149,15 @@
     large.checkpoint_s = large.save_s = 0;
     w.submit(large, 3);
     w.submit(gang("job-2", 4, 1, 20), 20);
-    while (w.now() < 40 && w.placed("job-1") < 60) w.run_until(w.now() + 0.25);
-    ASSERT_EQ(w.placed("job-1"), 60u);
+    while (w.now() < 40 && w.placed_tasks("job-1") < 60) w.run_until(w.now() + 0.25);
+    ASSERT_EQ(w.placed_tasks("job-1"), 60u);
     w.lower_state_limits(1.2, 4);
     w.at(w.now() + 5, [&w] { w.kill_node(1, 0.3); });
     w.run_until(180);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_EQ(w.told("job-2"), "done") << seed;
-    EXPECT_LE(w.work().state_requests, 180u * 60);
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-2"), "done") << seed;
+    EXPECT_LE(w.counters().state_requests, 180u * 60);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -177,8 +181,8 @@
   ASSERT_EQ(w.running("job-1"), 16u);
   w.submit(gang("job-2", 16, 2, 10), 41);
   w.run_until(100);
-  EXPECT_EQ(w.told("job-2"), "done");
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_EQ(w.last_reported_status("job-2"), "done");
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // One machine in zone a has room for a member, and the cloud has no more there, but enough in zone
@@ -202,8 +206,8 @@
     }
     w.submit(gang("job-1", 3, 14, 10), 30);
     w.run_until(110);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -226,11 +230,12 @@
     }
     w.submit(gang("job-1", 2, 14, 10), 20);
     w.run_until(20 + 120 + 60);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
     w.run_until(330);
     for (int i = 2; i < kStream; ++i)
-      EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i << " seed " << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+      EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done")
+          << i << " seed " << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -240,7 +245,8 @@
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto falls = *rc::gen::inRange(3, 120);
   const auto which = *rc::gen::inRange(1, 8);
-  const auto schedule = *rc::gen::resize(3, rc::gen::container<std::vector<Fault>>(faults()));
+  const auto schedule =
+      *rc::gen::resize(3, rc::gen::container<std::vector<Fault>>(generated_fault()));
   ClusterSimulation::Options options;
   options.seed = seed;
   options.next_limits = std::make_pair(which & 1 ? 2.0 : 4.0, which & 2 ? 4 : 8);
@@ -263,14 +269,14 @@
     w.lower_state_limits();
     if (which & 4) w.lower_write_rate();
   });
-  for (const auto& t : schedule) w.at(t.at, [&w, t] { play(w, t); });
+  for (const auto& t : schedule) w.at(t.at, [&w, t] { inject(w, t); });
   w.run_until(360);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
-    RC_LOG() << id << " " << w.stored("job/" + id)->dump() << "\n";
-    RC_ASSERT(w.cancelled_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
+    RC_LOG() << id << " " << w.stored_value("job/" + id)->dump() << "\n";
+    RC_ASSERT(w.cancelled_by_user(id) || w.last_reported_status(id) == "done" || w.running(id) > 0);
   }
 }
 
@@ -284,9 +290,10 @@
   w.submit(gang("job-1", 8, 8, 10), 3);  // 64 CPUs in one zone, of 32
   for (int i = 2; i < 6; ++i) w.submit(gang("job-" + std::to_string(i), 2, 8, 8), 4);
   w.run_until(70);
-  for (int i = 2; i < 6; ++i) EXPECT_EQ(w.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_EQ(w.told("job-1"), "open");
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  for (int i = 2; i < 6; ++i)
+    EXPECT_EQ(w.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_EQ(w.last_reported_status("job-1"), "open");
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A member lost before the start is replaced under the same attempt, well before the others give up
@@ -301,12 +308,12 @@
     auto j = gang("job-1", 4, 12, 10);
     j.image_gb = 8;  // 16 s on a small machine
     w.submit(j, 3);
-    while (w.now() < 60 && w.placed("job-1") < 4) w.run_until(w.now() + 0.5);
+    while (w.now() < 60 && w.placed_tasks("job-1") < 4) w.run_until(w.now() + 0.5);
     w.run_until(w.now() + 3);
     w.kill_machine_of("job-1");
     w.run_until(w.now() + 75);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -322,12 +329,12 @@
     w.submit(j, 3);
     w.run_until(30);
     ASSERT_EQ(w.running("job-1"), 3u);
-    w.take_machine_of("job-1", 15);
+    w.reclaim_machine_of("job-1", 15);
     w.run_until(45);
-    in_order += w.safe_progress("job-1") > 5;
+    in_order += w.checkpointed_progress_s("job-1") > 5;
     w.run_until(140);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
   EXPECT_EQ(in_order, 6);
 }
@@ -345,16 +352,16 @@
     auto j = gang("job-1", 4, 12, 10);
     j.image_gb = 8;  // 16 s on a small machine
     w.submit(j, 3);
-    while (w.now() < 60 && w.placed("job-1") < 4) w.run_until(w.now() + 0.25);
-    w.sicken_machine_of("job-1", 30);
-    while (w.now() < 90 && w.gathering("job-1") == 0) w.run_until(w.now() + 0.05);
+    while (w.now() < 60 && w.placed_tasks("job-1") < 4) w.run_until(w.now() + 0.25);
+    w.fail_tasks_on_machine_of("job-1", 30);
+    while (w.now() < 90 && w.tasks_waiting_for_gang("job-1") == 0) w.run_until(w.now() + 0.05);
     w.run_until(w.now() + 0.4 + 0.2 * static_cast<double>(seed));
-    w.kill_owner_of("job-1", 8);
+    w.kill_shard_holder_of("job-1", 8);
     w.run_until(w.now() + 90);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
     EXPECT_LE(w.starts_in_attempt("job-1", 1), 4u)
         << "a member joined an attempt that was over, seed " << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -373,8 +380,8 @@
     w.run_until(w.now() + 100);
     EXPECT_EQ(w.starts_in_attempt("job-1", 1), 4u)
         << "a replacement in an attempt that ran, seed " << seed;
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -392,8 +399,8 @@
     w.run_until(w.now() + 4);
     w.kill_machine_of("job-1");
     w.run_until(w.now() + 60);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -413,8 +420,8 @@
     w.run_until(w.now() + 120);
     EXPECT_EQ(w.starts_in_attempt("job-1", 1), 2u)
         << "a replacement in an attempt that ran, seed " << seed;
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -434,8 +441,10 @@
 // controller that looks after the gang ends.
 RC_GTEST_PROP(Gangs, NoScheduleOfTroublesBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(5, rc::gen::container<std::vector<Fault>>(faults()));
-  const auto strikes = *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(faults()));
+  const auto schedule =
+      *rc::gen::resize(5, rc::gen::container<std::vector<Fault>>(generated_fault()));
+  const auto strikes =
+      *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(generated_fault()));
   ClusterSimulation::Options options;
   options.seed = seed;
   options.gang_wait_s = 20;
@@ -448,28 +457,28 @@
     if (rng() % 6 == 0)
       w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
   }
-  for (const auto& t : schedule) w.at(t.at, [&w, t] { play(w, t); });
+  for (const auto& t : schedule) w.at(t.at, [&w, t] { inject(w, t); });
   for (const auto& t : strikes) {
     w.at(t.at, [&w, t] {
-      const std::string id = "job-" + std::to_string(t.which % kJobs);
-      if (t.kind % 2) w.kill_owner_of(id, t.flag ? 0.3 : 6);
+      const std::string id = "job-" + std::to_string(t.target % kJobs);
+      if (t.kind % 2) w.kill_shard_holder_of(id, t.variant ? 0.3 : 6);
       switch (t.kind % 4) {
         case 0: w.kill_machine_of(id); break;
-        case 1: w.take_machine_of(id, t.for_s / 3); break;
-        case 2: w.sicken_machine_of(id, t.for_s); break;
+        case 1: w.reclaim_machine_of(id, t.for_s / 3); break;
+        case 2: w.fail_tasks_on_machine_of(id, t.for_s); break;
         default: break;
       }
     });
   }
   w.run_until(360);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
     if (w.cancelled_by_user(id)) continue;
-    RC_LOG() << id << " " << w.stored("job/" + id)->dump() << "\n";
-    RC_ASSERT(w.told(id) == "done" || w.running(id) > 0);
+    RC_LOG() << id << " " << w.stored_value("job/" + id)->dump() << "\n";
+    RC_ASSERT(w.last_reported_status(id) == "done" || w.running(id) > 0);
   }
 }
 
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -22,7 +22,9 @@
   return s;
 }
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) {
+  return w.violations.empty() ? "" : w.violations.front();
+}
 
 constexpr int kHolder = 1;     // of the part of team red
 constexpr int kConfirmer = 2;  // by name the leader of the cloud
@@ -56,7 +58,7 @@
   static ClusterSimulation::Options options(uint64_t seed, std::set<int> words_of_before) {
     ClusterSimulation::Options o;
     o.seed = seed;
-    o.words_of_before = std::move(words_of_before);
+    o.nodes_without_new_peer_fields = std::move(words_of_before);
     o.consolidate = false;  // moves replicas, too
     return o;
   }
@@ -69,7 +71,8 @@
       ClusterSimulation& w = gap.world;
       w.run_until(gap.outage_at + 5);
       int told = 0;
-      for (int i = 0; i < Gap::kJobs; ++i) told += w.cancel_told("job-" + std::to_string(i));
+      for (int i = 0; i < Gap::kJobs; ++i)
+        told += w.cancellation_confirmed("job-" + std::to_string(i));
       EXPECT_GE(told, 3);
       w.run_until(gap.outage_at + Gap::kOutage - 1);
       // With all that others knew handed over, a long outage costs the fleet nothing.
@@ -77,7 +80,7 @@
       EXPECT_EQ(w.starts_of("job-stays"), 4u);
       w.run_until(gap.outage_at + Gap::kOutage + 40);
       EXPECT_EQ(w.running("job-stays"), 4u);
-      EXPECT_TRUE(w.broken.empty()) << first(w) << " seed " << seed << " after " << after;
+      EXPECT_TRUE(w.violations.empty()) << first(w) << " seed " << seed << " after " << after;
     }
   }
 }
@@ -95,10 +98,10 @@
         w.cut("node-" + std::to_string(n), "node-2", 2.2, false);
       w.at(gap.outage_at + 0.1, [&w, back_after] { w.kill_node(kConfirmer, back_after); });
       w.run_until(gap.outage_at + 1);
-      EXPECT_TRUE(w.cancel_told("job-4")) << "seed " << seed;
+      EXPECT_TRUE(w.cancellation_confirmed("job-4")) << "seed " << seed;
       w.run_until(gap.outage_at + Gap::kOutage + 60);
       EXPECT_EQ(w.running("job-stays"), 4u);
-      EXPECT_TRUE(w.broken.empty()) << first(w) << " seed " << seed;
+      EXPECT_TRUE(w.violations.empty()) << first(w) << " seed " << seed;
     }
   }
 }
@@ -113,7 +116,7 @@
       ClusterSimulation& w = gap.world;
       w.run_until(gap.outage_at + Gap::kOutage + 60);
       EXPECT_EQ(w.running("job-stays"), 4u) << "seed " << seed;
-      EXPECT_TRUE(w.broken.empty()) << first(w) << " seed " << seed;
+      EXPECT_TRUE(w.violations.empty()) << first(w) << " seed " << seed;
     }
   }
 }
@@ -150,10 +153,10 @@
   // tells.
   for (int i = 0; i < Gap::kJobs; ++i)
     for (int n = 0; n < 3; ++n)
-      w.ask("job-" + std::to_string(i), gap.outage_at - 1.9 + 0.4 * i + 0.1 * n, n);
+      w.query_job("job-" + std::to_string(i), gap.outage_at - 1.9 + 0.4 * i + 0.1 * n, n);
   w.run_until(gap.outage_at + Gap::kOutage + 60);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
   RC_ASSERT(w.running("job-stays") == 4u);
 }
 
@@ -180,8 +183,8 @@
 std::string name(int i) { return "job-" + std::to_string(i); }
 
 void expect_no_rule_broken(const ClusterSimulation& w) {
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
 }
 
 // Every job that was accepted and not called off is done, or runs whole.
@@ -189,11 +192,11 @@
   for (const auto& j : jobs) {
     RC_ASSERT(w.accepted(j.id));
     if (w.cancelled_by_user(j.id)) continue;
-    const auto* record = w.stored("job/" + j.id);
-    RC_LOG() << j.id << " told " << w.told(j.id).value_or("nothing") << " " << record->dump()
-             << "\n";
-    const bool served =
-        j.kind == store::JobKind::service ? w.running(j.id) == j.tasks : w.told(j.id) == "done";
+    const auto* record = w.stored_value("job/" + j.id);
+    RC_LOG() << j.id << " told " << w.last_reported_status(j.id).value_or("nothing") << " "
+             << record->dump() << "\n";
+    const bool served = j.kind == store::JobKind::service ? w.running(j.id) == j.tasks
+                                                          : w.last_reported_status(j.id) == "done";
     RC_ASSERT(served);
   }
 }
@@ -202,7 +205,7 @@
 // once, while answers of the state service are lost or late: no node answers something older.
 RC_GTEST_PROP(OverlappingFaults, CloseLooksNeverSeeAnythingOlder, ()) {
   ClusterSimulation w(seeded());
-  w.close_looks(100);
+  w.query_after_status_changes(100);
   std::vector<store::JobSpec> jobs;
   for (int i = 0; i < 24; ++i) {
     jobs.push_back(i % 4 ? array(name(i), i % 2 ? "red" : "blue", 1 + i % 3, 4 + i % 7)
@@ -212,9 +215,9 @@
     if (i % 5 == 0) w.cancel(name(i), at + 0.02);
     if (i % 7 == 0) w.cancel(name(i), at + 12, i % 3);
   }
-  w.cancel_at_end(80, 0.5);
+  w.cancel_jobs_at_completion(80, 0.5);
   const bool at_once = *rc::gen::arbitrary<bool>();
-  w.at(15, [&w, at_once] { w.unanswered_writes(25, 0.4, at_once); });
+  w.at(15, [&w, at_once] { w.lose_transaction_answers(25, 0.4, at_once); });
   w.at(45, [&w] { w.slow_state(20); });
   w.run_until(200);
   expect_no_rule_broken(w);
@@ -238,16 +241,16 @@
   const double at = 30 + *rc::gen::inRange(0, 200) / 10.0;
   const int hang_s = *rc::gen::inRange(0, 13), cut_s = *rc::gen::inRange(2, 40);
   const auto kind = *rc::gen::inRange(0, 4);
-  w.at(12, [&w] { w.keep_report_copies(60); });
+  w.at(12, [&w] { w.replay_heartbeats_to_new_holders(60); });
   w.at(at, [&w, hang_s, cut_s, kind] {
     for (size_t m = 0; m < 4; ++m) {
       if (kind == 0) w.cut_machine(m, cut_s, true, false);
       if (kind == 1) w.cut_machine(m, cut_s, true, true);
-      if (kind == 2) w.mute_machine(m, cut_s);
+      if (kind == 2) w.block_heartbeats(m, cut_s);
       if (kind == 3) w.hang_machine(m, hang_s);
     }
   });
-  w.at(at + *rc::gen::inRange(0, 40) / 10.0, [&w, hang_s] { w.cancel_some_now(5, hang_s); });
+  w.at(at + *rc::gen::inRange(0, 40) / 10.0, [&w, hang_s] { w.cancel_running_jobs(5, hang_s); });
   const bool takeover = *rc::gen::arbitrary<bool>(), quick = *rc::gen::arbitrary<bool>();
   w.at(at + *rc::gen::inRange(0, 50) / 10.0, [&w, takeover, quick] {
     for (int n = 0; n < 3 && takeover; ++n)
@@ -287,7 +290,7 @@
   w.run_until(130);
   expect_no_rule_broken(w);
   for (const int i : cancelled) {
-    RC_ASSERT(w.cancel_told(name(i)));
+    RC_ASSERT(w.cancellation_confirmed(name(i)));
     RC_ASSERT(w.running(name(i)) == 0u);
   }
   w.run_until(260);
@@ -309,7 +312,7 @@
     w.submit(jobs.back(), 3 + 1.5 * i);
   }
   const bool at_once = *rc::gen::arbitrary<bool>();
-  w.at(4, [&w, at_once] { w.unanswered_writes(25, 0.5, at_once); });
+  w.at(4, [&w, at_once] { w.lose_transaction_answers(25, 0.5, at_once); });
   for (int k = 0; k < 3; ++k)
     w.at(5 + *rc::gen::inRange(0, 60) / 10.0 + 7 * k, [&w] { w.kill_node(2, 0.5); });
   w.run_until(200);
@@ -337,10 +340,11 @@
     // Room comes bit by bit, and a later placement finds another machine best.
     for (int i = 0; i < 24; ++i)
       w.submit(array(name(i), i % 2 ? "red" : "blue", 1 + i % 4, 4 + i % 5), 3 + 0.7 * i);
-    w.at(5, [&w] { w.unanswered_writes(25, 0.6, false); });
+    w.at(5, [&w] { w.lose_transaction_answers(25, 0.6, false); });
     w.run_until(120);
-    EXPECT_TRUE(w.broken.empty()) << first(w) << ", seed " << seed;
-    for (int i = 0; i < 24; ++i) EXPECT_EQ(w.told(name(i)), "done") << i << ", seed " << seed;
+    EXPECT_TRUE(w.violations.empty()) << first(w) << ", seed " << seed;
+    for (int i = 0; i < 24; ++i)
+      EXPECT_EQ(w.last_reported_status(name(i)), "done") << i << ", seed " << seed;
   }
 }
 
@@ -355,7 +359,7 @@
     w.submit(jobs.back(), 3 + i);
     if (i % 5 == 0) w.cancel(name(i), 25 + i);
   }
-  w.at(*rc::gen::inRange(10, 30), [&w] { w.keep_report_copies(60); });
+  w.at(*rc::gen::inRange(10, 30), [&w] { w.replay_heartbeats_to_new_holders(60); });
   const auto hung = *rc::gen::inRange<size_t>(0, 6);
   w.at(28, [&w, hung] { w.hang_machine(hung, 16); });  // its next session begins after it
   for (int k = 0; k < 4; ++k) {
@@ -378,11 +382,11 @@
     w.submit(array("job-1", "red", 6, 45), 3);
     w.submit(service("job-2", 4, 2), 3);
     w.run_until(30);
-    for (size_t m = 0; m < 2; ++m) w.mute_machine(m, 250);
+    for (size_t m = 0; m < 2; ++m) w.block_heartbeats(m, 250);
     w.run_until(125);
-    EXPECT_EQ(w.told("job-1"), "done") << seed;
+    EXPECT_EQ(w.last_reported_status("job-1"), "done") << seed;
     EXPECT_EQ(w.running("job-2"), 4u) << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -403,17 +407,17 @@
   for (int i = 0; i < kJobs; ++i)
     if (i % 4 != 0)
       w.at(5 + i / static_cast<double>(kPerSecond) + 45,
-           [&w, &late, i] { late += w.told(name(i)) != "done"; });
+           [&w, &late, i] { late += w.last_reported_status(name(i)) != "done"; });
   w.run_until(220);
   for (int i = 0; i < kJobs; ++i) {
     ASSERT_TRUE(w.accepted(name(i))) << i;
     if (i % 4 != 0) {
-      EXPECT_EQ(w.told(name(i)), "done") << i;
+      EXPECT_EQ(w.last_reported_status(name(i)), "done") << i;
     }
   }
   EXPECT_LE(late, kJobs / 20);
   EXPECT_LE(not_taken_at_once, kJobs / 20);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // The rest of the list. Each plays over the same work; what it does to the world is all that
@@ -441,7 +445,7 @@
       {"all controllers are away for longer than a lease",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          w.at(35, [&w, for_s = 16.0 + static_cast<double>(rng() % 20)] { kill_all(w, for_s); });
-         w.at(36, [&w] { w.cancel_some_now(3, 0); });
+         w.at(36, [&w] { w.cancel_running_jobs(3, 0); });
        }},
       {"controllers hand over and back, all end, and one returns within a second",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
@@ -457,7 +461,7 @@
              w.kill_node(n, quick ? 0.2 : 5);
            });
          w.at(55, [&w] { w.state_outage(25); });
-         w.at(52, [&w] { w.cancel_some_now(2, 0); });
+         w.at(52, [&w] { w.cancel_running_jobs(2, 0); });
        }},
       {"more work than room, urgent and not, over slow links",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
@@ -472,8 +476,8 @@
       {"workers can't open connections to any controller, direct commands still reach them",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
          const double for_s = 8 + static_cast<double>(rng() % 60);
-         for (const size_t m : {0, 2}) w.at(33, [&w, m, for_s] { w.mute_machine(m, for_s); });
-         w.at(34, [&w] { w.cancel_some_now(2, 0); });
+         for (const size_t m : {0, 2}) w.at(33, [&w, m, for_s] { w.block_heartbeats(m, for_s); });
+         w.at(34, [&w] { w.cancel_running_jobs(2, 0); });
        }},
       {"a report is held back until a new leader has acted",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
@@ -482,7 +486,7 @@
              w.cut_machine(m, for_s, true, false);
            });
          w.at(30.5, [&w] { w.kill_node(1, 5); });
-         w.at(32, [&w] { w.cancel_some_now(3, 0); });
+         w.at(32, [&w] { w.cancel_running_jobs(3, 0); });
        }},
       {"jobs bound to one zone lose machines",
        [](ClusterSimulation& w, std::mt19937_64& rng) {
@@ -496,7 +500,7 @@
              k % 2 ? w.hang_machine(m, for_s) : w.cut_machine(m, for_s, true, true);
            });
          }
-         w.at(40, [&w] { w.cancel_some_now(4, 5); });
+         w.at(40, [&w] { w.cancel_running_jobs(4, 5); });
        }},
       {"a leader ends while machines with long tasks can't be reached or don't hear the new one's "
        "answer",
@@ -508,7 +512,7 @@
            w.cut_machine(2, for_s, false, true);
          });
          w.at(33.2, [&w] { w.kill_node(1, 20); });
-         w.at(35, [&w] { w.cancel_some_now(2, 0); });
+         w.at(35, [&w] { w.cancel_running_jobs(2, 0); });
        }},
   };
   return all;
@@ -523,7 +527,7 @@
       std::mt19937_64 rng(seed);
       ClusterSimulation::Options options;
       options.seed = seed;
-      options.uneven = meeting.uneven;
+      options.runtime_increase_per_task = meeting.uneven;
       ClusterSimulation w(options);
       std::vector<store::JobSpec> jobs;
       for (int i = 0; i < 14; ++i) {
@@ -540,14 +544,14 @@
       }
       meeting.play(w, rng);
       w.run_until(320);
-      EXPECT_TRUE(w.broken.empty()) << first(w);
+      EXPECT_TRUE(w.violations.empty()) << first(w);
       for (const auto& j : jobs) {
         EXPECT_TRUE(w.accepted(j.id)) << j.id;
         if (w.cancelled_by_user(j.id)) continue;
         if (j.kind == store::JobKind::service) {
           EXPECT_EQ(w.running(j.id), j.tasks) << j.id;
         } else {
-          EXPECT_EQ(w.told(j.id), "done") << j.id;
+          EXPECT_EQ(w.last_reported_status(j.id), "done") << j.id;
         }
       }
     }
--- a/tests/requeue_test.cpp
+++ b/tests/requeue_test.cpp
@@ -114,7 +114,7 @@
   w.run_until(100);
   EXPECT_EQ(w.running("job-1"), 2u);
   EXPECT_EQ(w.starts_of("job-1"), 2u);
-  EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
 }
 
 TEST(Requeue, AContenderThatNeverFitsEvictsNothing) {
@@ -126,8 +126,8 @@
   w.submit(big, 20);
   w.run_until(90);
   EXPECT_EQ(w.starts_of("job-1"), 2u);
-  EXPECT_EQ(w.stored("job/job-1")->value("not_before", 0.0), 0.0);
-  EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+  EXPECT_EQ(w.stored_value("job/job-1")->value("not_before", 0.0), 0.0);
+  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
 }
 
 // Nomination, trial, commit, stop, the contender whole in the freed room, and the cooldown of the
@@ -144,12 +144,12 @@
   w.run_until(50);
   EXPECT_EQ(w.running("job-2"), 2u);
   EXPECT_EQ(w.running("job-1"), 0u);
-  const double not_before = w.stored("job/job-1")->value("not_before", 0.0);
+  const double not_before = w.stored_value("job/job-1")->value("not_before", 0.0);
   EXPECT_GT(not_before, 0.0);
   // When the contender is over the victim runs again, from its checkpoint or anew; another
   // contender comes once it is due again, and gets nothing while the cooldown lasts.
   w.run_until(75);
-  EXPECT_EQ(w.told("job-2"), "done");
+  EXPECT_EQ(w.last_reported_status("job-2"), "done");
   EXPECT_EQ(w.running("job-1"), 2u);
   EXPECT_EQ(w.starts_of("job-1"), 4u);
   auto second = filler("job-3", 2, 3);
@@ -161,7 +161,7 @@
   EXPECT_EQ(w.starts_of("job-1"), 4u);
   w.run_until(cooldown_ends + 40);
   EXPECT_EQ(w.starts_of("job-3"), 2u);
-  EXPECT_TRUE(w.broken.empty()) << w.broken.front();
+  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
 }
 
 }  // namespace
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -30,7 +30,9 @@
   return s;
 }
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) {
+  return w.violations.empty() ? "" : w.violations.front();
+}
 
 // Rentals waited in a queue, one request a part and a few machines, behind others for a type that
 // the cloud had refused long since; at two calls a second the fleet came up minutes late.
@@ -49,8 +51,8 @@
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 15, 4), 3 + 0.02 * i);
   w.run_until(50);
   for (int i = 0; i < kJobs; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i;
-  EXPECT_LE(w.work().cloud_calls, 50u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_LE(w.counters().cloud_calls, 50u);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // One controller, more of them than teams, many teams on few: each team is served, also after each
@@ -74,7 +76,7 @@
       EXPECT_EQ(w.starts_of("job-" + std::to_string(i)), 2u) << nodes << " nodes, team " << i;
       EXPECT_EQ(w.running("job-" + std::to_string(100 + i)), 2u) << nodes << " nodes, team " << i;
     }
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -93,8 +95,8 @@
     w.run_until(100);
     for (int i = 0; i < jobs; ++i)
       EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i << " of " << jobs;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
-    return w.work();
+    EXPECT_TRUE(w.violations.empty()) << first(w);
+    return w.counters();
   };
   constexpr int kJobs = 60, kTimes = 4;
   const auto few = play(kJobs), many = play(kJobs * kTimes);
@@ -119,17 +121,17 @@
   for (int i = 0; i < 240; ++i) w.submit(service(i, 5, 4), 3);
   w.run_until(60);
   ASSERT_GE(w.machines_up(), 55u);
-  const ClusterSimulation::Work before = w.work();
+  const ClusterSimulation::Counters before = w.counters();
   w.run_until(90);
   // One in each period between any two of them, where it was one each way.
-  const size_t messages = w.work().peer_messages - before.peer_messages;
+  const size_t messages = w.counters().peer_messages - before.peer_messages;
   constexpr double kPairs = 10;
   const double periods = 30 / (w.settings().heartbeat_interval_s / 2);
   EXPECT_GE(static_cast<double>(messages), 0.8 * kPairs * periods);
   EXPECT_LE(static_cast<double>(messages), 1.4 * kPairs * periods);
   // Some are just given back or change parts; a fifth of the fleet would be 11.
-  EXPECT_LE(w.work().machines_named_to_peers - before.machines_named_to_peers, 2 * messages);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_LE(w.counters().machine_contacts_sent - before.machine_contacts_sent, 2 * messages);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A tick every eightieth of report_s, forty a second here, was two turns in five of a busy
@@ -140,13 +142,13 @@
   options.teams = teams(5);
   ClusterSimulation w(options);
   w.run_until(30);
-  const size_t before = w.work().turns;
+  const size_t before = w.counters().batches_processed;
   constexpr double kSeconds = 30;
   w.run_until(30 + kSeconds);
   // Messages with four peers, one a second each way, and their answers; renewals, a watch, health
   // and plans.
   constexpr double kMostPerSecond = 25;
-  EXPECT_LE(static_cast<double>(w.work().turns - before),
+  EXPECT_LE(static_cast<double>(w.counters().batches_processed - before),
             kMostPerSecond * kSeconds * options.nodes);
 }
 
@@ -167,7 +169,7 @@
   w.run_until(55);
   for (int i = 0; i < kJobs; ++i) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i;
   EXPECT_LE(w.machines_up(), 33u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // Each job of a dead machine was written twice, without the lost task and with its new place: when
@@ -192,14 +194,14 @@
   size_t lost = 0;
   for (int i = 0; i < kJobs; i += 2) lost += w.running("job-" + std::to_string(2 * i)) == 0;
   ASSERT_GE(lost, 4u);
-  const size_t before = w.work().writes;
+  const size_t before = w.counters().writes;
   w.run_until(75);
   for (int i = 0; i < kJobs; i += 2) EXPECT_EQ(w.running("job-" + std::to_string(2 * i)), 1u) << i;
   // Placed, reported running; and the records of the machine itself and of what is rented and given
   // back.
   constexpr size_t kMachines = 4;
-  EXPECT_LE(w.work().writes - before, 2 * lost + kMachines);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_LE(w.counters().writes - before, 2 * lost + kMachines);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // Connections between controllers refused: each took the whole budget of the state service for its
@@ -221,10 +223,10 @@
     for (int b = a + 1; b < 5; ++b)
       w.cut("node-" + std::to_string(a), "node-" + std::to_string(b), 40, false);
   w.run_until(30);
-  const size_t before = w.work().state_requests;
+  const size_t before = w.counters().state_requests;
   w.run_until(60);
-  EXPECT_LE(w.work().state_requests - before, static_cast<size_t>(30 * w.settings().state_rps));
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_LE(w.counters().state_requests - before, static_cast<size_t>(30 * w.settings().state_rps));
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // One request of fifty machines left in each plan, whatever the cloud takes: a plan every two
@@ -250,7 +252,7 @@
   }
   w.run_until(20);
   EXPECT_GE(w.machines_up(), kMachines * 9 / 10);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // A command to each machine of a lost zone took every socket for as long as a time-out: the
@@ -273,14 +275,15 @@
   for (int i = 0; i < kJobs; ++i) w.submit(service(i, 2, 4), 3);
   w.run_until(50);
   ASSERT_GE(w.machines_up(), 100u);
-  const auto before = w.work();
+  const auto before = w.counters();
   w.kill_zone("a");
   w.run_until(110);
-  EXPECT_EQ(w.work().calls_without_socket, before.calls_without_socket);
-  EXPECT_LE(w.work().most_commands_at_once, static_cast<size_t>(options.max_connections * 0.2));
+  EXPECT_EQ(w.counters().calls_without_socket, before.calls_without_socket);
+  EXPECT_LE(w.counters().max_commands_in_flight,
+            static_cast<size_t>(options.max_connections * 0.2));
   for (int i = 0; i < kJobs; ++i)
     EXPECT_GE(w.running("job-" + std::to_string(i)), 2u) << i;  // the half that is in zone b
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // The size that operators run: it comes up, loses a zone, loses all its controllers, changes its
@@ -298,7 +301,7 @@
   options.state_rps = 2000;
   options.state_write_rps = 1000;
   options.cloud_rps = 20;
-  options.page = 500;
+  options.state_page_entries = 500;
   options.max_connections = 5000;
   options.step_s = 1;
   options.types = {{"mid", {8, 0, 128}, 50, 1, 1.8, 0.7, 10, {"a", "b"}}};
@@ -321,20 +324,20 @@
   EXPECT_EQ(tasks_running(), kJobs * kTasks);
   for (int n = 0; n < options.nodes; ++n) w.kill_node(n, 5);
   w.run_until(250);
-  const auto* leader = w.stored("leader");
+  const auto* leader = w.stored_value("leader");
   ASSERT_NE(leader, nullptr);
   const auto name = leader->at("node").get<std::string>();
   w.kill_node(name.back() - '0', 10);
   w.run_until(280);
   EXPECT_EQ(tasks_running(), kJobs * kTasks);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
   // Each machine is rented, gets its address and goes or is offered; each job is accepted, placed,
   // marked, and placed anew in the other zone: 768,617 turns, 31,606 puts of 7.2 million bytes and
   // 357 calls when this was written.
-  EXPECT_LE(w.work().turns, 1000000u);
-  EXPECT_LE(w.work().writes, 40000u);
-  EXPECT_LE(w.work().bytes_written, 10000000u);
-  EXPECT_LE(w.work().cloud_calls, 600u);
+  EXPECT_LE(w.counters().batches_processed, 1000000u);
+  EXPECT_LE(w.counters().writes, 40000u);
+  EXPECT_LE(w.counters().bytes_written, 10000000u);
+  EXPECT_LE(w.counters().cloud_calls, 600u);
 }
 
 // A job's last start stood for all its replicas, and one array kept a machine from being emptied:
@@ -367,7 +370,7 @@
   EXPECT_GE(before, 20u);
   EXPECT_LE(w.machines_up(), 10u);
   for (int i = 0; i < 80; i += 5) EXPECT_EQ(w.running("job-" + std::to_string(i)), 4u) << i;
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 }  // namespace
--- a/tests/simulation/fake_state_store.cpp
+++ b/tests/simulation/fake_state_store.cpp
@@ -59,15 +59,15 @@
 }
 
 void FakeStateStore::expire_leases(double now) {
-  std::vector<uint64_t> over;
+  std::vector<uint64_t> expired;
   for (const auto& [id, lease] : leases_)
-    if (now > lease.until) over.push_back(id);
-  for (const uint64_t id : over) {
+    if (now > lease.until) expired.push_back(id);
+  for (const uint64_t id : expired) {
     leases_.erase(id);
-    std::vector<std::string> attached;
+    std::vector<std::string> attached_keys;
     for (const auto& [key, entry] : keys_)
-      if (entry.lease == id) attached.push_back(key);
-    for (const auto& key : attached) {
+      if (entry.lease == id) attached_keys.push_back(key);
+    for (const auto& key : attached_keys) {
       ++revision_;
       change(key, std::nullopt, 0);
     }
@@ -88,19 +88,21 @@
 }
 
 bool FakeStateStore::leases_exist(const Txn& transaction) const {
-  return std::all_of(transaction.writes.begin(), transaction.writes.end(),
-                     [&](const Write& w) { return w.lease == 0 || leases_.count(w.lease) != 0; });
+  return std::all_of(transaction.writes.begin(), transaction.writes.end(), [&](const Write& write) {
+    return write.lease == 0 || leases_.count(write.lease) != 0;
+  });
 }
 
 bool FakeStateStore::too_large(const Txn& transaction) const {
-  const auto most = static_cast<size_t>(value_kb_ * 1024);
-  return std::any_of(transaction.writes.begin(), transaction.writes.end(),
-                     [&](const Write& w) { return w.value && w.value->dump().size() > most; });
+  const auto limit = static_cast<size_t>(value_kb_ * 1024);
+  return std::any_of(transaction.writes.begin(), transaction.writes.end(), [&](const Write& write) {
+    return write.value && write.value->dump().size() > limit;
+  });
 }
 
 void FakeStateStore::apply(const Txn& transaction, double now, CallDone& done) {
   ++counters_.transactions;
-  counters_.puts_asked += transaction.writes.size();
+  counters_.puts_requested += transaction.writes.size();
   if (transaction.writes.size() > txn_ops_ || transaction.preconditions.size() > txn_ops_ * 4) {
     done.status = 400;
     return;
--- a/tests/simulation/fake_state_store.h
+++ b/tests/simulation/fake_state_store.h
@@ -1,5 +1,5 @@
-// The stand-in of the state service: keys, leases, the log of changes, transactions and their
-// limits. It has no network; whoever uses it delays, loses or refuses requests.
+// An in-memory state service: keys, leases, the log of changes, transactions and their limits. It
+// has no network; its users delay, lose or refuse requests.
 #pragma once
 #include <deque>
 #include <functional>
@@ -13,39 +13,39 @@
 
 class FakeStateStore {
  public:
-  /// What was asked of it and carried out so far.
+  /// Totals of requests and writes since the start.
   struct Counters {
     uint64_t requests = 0, transactions = 0, conflicts = 0;
-    uint64_t puts_asked = 0;  // puts and deletes of all transactions that were sent
-    uint64_t puts = 0;        // of those that were carried out
+    uint64_t puts_requested = 0;  // puts and deletes of all transactions received
+    uint64_t puts = 0;            // of the transactions that were applied
     uint64_t refused_for_rate = 0;
   };
 
-  /// Largest value in KiB of its JSON form, and puts and deletes of one transaction; a larger one
-  /// gets 400.
+  /// Sets the largest value, in KiB of its JSON form, and the most puts and deletes per
+  /// transaction. A transaction beyond a limit gets 400.
   void set_limits(double value_kb, int txn_ops);
-  /// Puts and deletes a second, with bursts of a second's worth; beyond it 429.
+  /// Limits puts and deletes per second, with bursts of one second's quantity. Beyond it: 429.
   void set_write_rate(double per_second);
-  /// Requests a second, with bursts of a second's worth; beyond it 429.
+  /// Limits requests per second, with bursts of one second's quantity. Beyond it: 429.
   void set_request_rate(double per_second);
-  /// Entries of one page.
+  /// Sets the number of entries per page of a listing.
   void set_page(size_t entries) { page_ = entries; }
-  /// Changes kept for watches; an older `since` gets 410. All, if never called.
+  /// Sets the number of changes kept for watches (default: all). An older `since` gets 410.
   void set_history(size_t changes) { history_ = changes; }
   /// Called for each key that is put.
   std::function<void(const std::string& key)> on_put;
 
-  /// Carries out a request at `now` (seconds, any origin) and gives the answer. Not for watches.
+  /// Executes a request at `now` (seconds, any origin) and returns the answer. Not for watches.
   coordination::CallDone answer(const coordination::Call& call, double now);
-  /// Counts a request against the rate; false: 429.
+  /// Counts a request against the request rate; false: beyond it (429).
   bool admit(double now);
-  /// What has changed after a revision; none: the history does not go back that far (410).
+  /// Returns the changes after a revision; nullopt: the history does not go back that far (410).
   std::optional<coordination::WatchReply> changes_since(uint64_t revision) const;
   /// Ends leases that were not renewed, with the keys attached to them.
   void expire_leases(double now);
-  /// After an outage every lease has its full time again.
+  /// Restores the full TTL of every lease, as after an outage.
   void renew_all_leases(double now);
-  /// Writes a key as if a controller had: for records that stand there from the start.
+  /// Writes a key directly, for records that exist from the start.
   void preset(const std::string& key, store::Json value);
 
   const store::Json* value_of(const std::string& key) const;
--- a/tests/simulation/fault_injection.cpp
+++ b/tests/simulation/fault_injection.cpp
@@ -1,116 +1,123 @@
-// Troubles of single machines, and cancellations at inconvenient moments.
+// Faults of single machines, controllers and heartbeats, and cancellations by users.
 #include <algorithm>
 
 #include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
-ClusterSimulation::Worker* ClusterSimulation::pick_worker(size_t select_slot) {
+ClusterSimulation::Worker* ClusterSimulation::pick_worker(size_t machine_index) {
   std::vector<Worker*> up;
-  for (auto& [id, w] : workers_)
-    if (w.phase == Worker::Phase::up) up.push_back(&w);
-  return up.empty() ? nullptr : up[select_slot % up.size()];
+  for (auto& [id, worker] : workers_)
+    if (worker.phase == Worker::Phase::up) up.push_back(&worker);
+  return up.empty() ? nullptr : up[machine_index % up.size()];
 }
 
-void ClusterSimulation::kill_machine(size_t select_slot) {
-  if (Worker* w = pick_worker(select_slot)) {
-    w->phase = Worker::Phase::dead;
-    w->tasks.clear();
+void ClusterSimulation::kill_machine(size_t machine_index) {
+  if (Worker* worker = pick_worker(machine_index)) {
+    worker->phase = Worker::Phase::dead;
+    worker->tasks.clear();
   }
 }
 void ClusterSimulation::kill_zone(const std::string& zone) {
-  for (auto& [id, w] : workers_) {
-    if (w.zone != zone || w.phase != Worker::Phase::up) continue;
-    w.phase = Worker::Phase::dead;
-    w.tasks.clear();
+  for (auto& [id, worker] : workers_) {
+    if (worker.zone != zone || worker.phase != Worker::Phase::up) continue;
+    worker.phase = Worker::Phase::dead;
+    worker.tasks.clear();
   }
 }
 ClusterSimulation::Worker* ClusterSimulation::worker_of(const std::string& job, size_t nth) {
-  for (auto& [id, w] : workers_) {
-    const bool has_it = std::any_of(w.tasks.begin(), w.tasks.end(),
-                                    [&](const auto& entry) { return entry.first.first == job; });
-    if (has_it && w.phase == Worker::Phase::up && nth-- == 0) return &w;
+  for (auto& [id, worker] : workers_) {
+    const bool has_task = std::any_of(worker.tasks.begin(), worker.tasks.end(),
+                                      [&](const auto& entry) { return entry.first.first == job; });
+    if (has_task && worker.phase == Worker::Phase::up && nth-- == 0) return &worker;
   }
   return nullptr;
 }
 void ClusterSimulation::kill_machine_of(const std::string& job) {
-  if (Worker* w = worker_of(job, 0)) {
-    w->phase = Worker::Phase::dead;
-    w->tasks.clear();
+  if (Worker* worker = worker_of(job, 0)) {
+    worker->phase = Worker::Phase::dead;
+    worker->tasks.clear();
   }
 }
 void ClusterSimulation::cut_machine_of(const std::string& job, size_t nth, double for_s) {
-  if (Worker* w = worker_of(job, nth)) cut("*", w->id, for_s, false);
+  if (Worker* worker = worker_of(job, nth)) cut("*", worker->id, for_s, false);
 }
-void ClusterSimulation::sicken_machine_of(const std::string& job, double for_s) {
-  if (Worker* w = worker_of(job, 0)) w->sick_until = now_ + for_s;
+void ClusterSimulation::fail_tasks_on_machine_of(const std::string& job, double for_s) {
+  if (Worker* worker = worker_of(job, 0)) worker->tasks_fail_until = now_ + for_s;
 }
-void ClusterSimulation::kill_owner_of(const std::string& job, double back_after_s) {
-  if (const auto n = owner_of(job)) kill_node(*n, back_after_s);
+void ClusterSimulation::kill_shard_holder_of(const std::string& job, double back_after_s) {
+  if (const auto holder = shard_holder_of(job)) kill_node(*holder, back_after_s);
 }
-std::optional<int> ClusterSimulation::owner_of(const std::string& job) const {
-  // Teams, sorted by name, are dealt over the parts.
+std::optional<int> ClusterSimulation::shard_holder_of(const std::string& job) const {
+  // Teams, sorted by name, are assigned to the shards in turn.
   std::set<std::string> teams;
-  for (const auto& t : settings_.teams) teams.insert(t.name);
+  for (const auto& team : settings_.teams) teams.insert(team.name);
   const auto place = std::distance(teams.begin(), teams.find(jobs_.at(job).spec.team));
-  const Json* lease_holder = stored(store::shard_key(static_cast<int>(place) % options_.nodes));
-  for (int n = 0; lease_holder && n < options_.nodes; ++n)
-    if (node_name(n) == lease_holder->at("node").get<std::string>()) return n;
+  const Json* lease_holder =
+      stored_value(store::shard_key(static_cast<int>(place) % options_.nodes));
+  for (int node = 0; lease_holder && node < options_.nodes; ++node)
+    if (node_name(node) == lease_holder->at("node").get<std::string>()) return node;
   return std::nullopt;
 }
-void ClusterSimulation::take_machine_of(const std::string& job, double notice_s) {
-  Worker* w = worker_of(job, 0);
-  if (!w) return;
-  w->taken_at = now_ + notice_s;
-  w->next_report = now_;
-  at(*w->taken_at, [this, machine = w->id] { workers_.erase(machine); });
+void ClusterSimulation::reclaim_machine_of(const std::string& job, double notice_s) {
+  Worker* worker = worker_of(job, 0);
+  if (!worker) return;
+  worker->reclaimed_at = now_ + notice_s;
+  worker->next_report = now_;
+  at(*worker->reclaimed_at, [this, machine = worker->id] { workers_.erase(machine); });
 }
-size_t ClusterSimulation::placed(const std::string& job) const {
-  const Json* record = stored("job/" + job);
+size_t ClusterSimulation::placed_tasks(const std::string& job) const {
+  const Json* record = stored_value("job/" + job);
   return record && record->contains("placed") ? (*record)["placed"].size() : 0;
 }
-void ClusterSimulation::hang_machine(size_t select_slot, double for_s) {
-  if (Worker* w = pick_worker(select_slot)) w->hang_until = now_ + for_s;
+void ClusterSimulation::hang_machine(size_t machine_index, double for_s) {
+  if (Worker* worker = pick_worker(machine_index)) worker->hang_until = now_ + for_s;
 }
-void ClusterSimulation::sick_machine(size_t select_slot, double for_s) {
-  if (Worker* w = pick_worker(select_slot)) w->sick_until = now_ + for_s;
+void ClusterSimulation::fail_tasks_on_machine(size_t machine_index, double for_s) {
+  if (Worker* worker = pick_worker(machine_index)) worker->tasks_fail_until = now_ + for_s;
 }
-void ClusterSimulation::cut_machine(size_t select_slot, double for_s, bool hold,
+void ClusterSimulation::cut_machine(size_t machine_index, double for_s, bool hold,
                                     bool only_inbound) {
-  if (Worker* w = pick_worker(select_slot)) cut("*", w->id, for_s, hold, only_inbound);
+  if (Worker* worker = pick_worker(machine_index)) cut("*", worker->id, for_s, hold, only_inbound);
 }
-void ClusterSimulation::mute_machine(size_t select_slot, double for_s) {
-  if (Worker* w = pick_worker(select_slot)) w->mute_until = now_ + for_s;
+void ClusterSimulation::block_heartbeats(size_t machine_index, double for_s) {
+  if (Worker* worker = pick_worker(machine_index)) worker->heartbeats_blocked_until = now_ + for_s;
 }
-void ClusterSimulation::report_nonsense(const std::string& job, int node) {
-  Worker* w = worker_of(job, 0);
-  if (!w) return;
-  auto heartbeat = snapshot(*w);
-  for (auto& t : heartbeat.tasks) t.gathering = true;
+void ClusterSimulation::report_invalid_tasks(const std::string& job, int node) {
+  Worker* worker = worker_of(job, 0);
+  if (!worker) return;
+  auto heartbeat = snapshot(*worker);
+  for (auto& task : heartbeat.tasks) task.gathering = true;
   auto stray = heartbeat.tasks.front();
   stray.attempt += 1000;
-  stray.task = jobs_.at(job).spec.tasks;  // one more than there are
+  stray.task = jobs_.at(job).spec.tasks;  // the first number past the last task
   heartbeat.tasks.push_back(stray);
   stray.job = "job-nobody";
   heartbeat.tasks.push_back(stray);
   deliver(node, HandleHeartbeat{next_request_++, heartbeat});
 }
-void ClusterSimulation::keep_report_copies(double for_s) { copies_kept_until_ = now_ + for_s; }
-void ClusterSimulation::cancel_at_end(double for_s, double share) {
-  ends_until_ = now_ + for_s;
-  ends_share_ = share;
+void ClusterSimulation::replay_heartbeats_to_new_holders(double for_s) {
+  record_until_ = now_ + for_s;
 }
-void ClusterSimulation::close_looks(double for_s) { looks_until_ = now_ + for_s; }
-void ClusterSimulation::cancel_some_now(size_t count, double hang_s) {
-  for (auto& [id, j] : jobs_) {
+void ClusterSimulation::cancel_jobs_at_completion(double for_s, double share) {
+  cancel_at_completion_until_ = now_ + for_s;
+  cancel_at_completion_share_ = share;
+}
+void ClusterSimulation::query_after_status_changes(double for_s) {
+  extra_queries_until_ = now_ + for_s;
+}
+void ClusterSimulation::cancel_running_jobs(size_t count, double hang_s) {
+  for (auto& [id, job] : jobs_) {
     if (count == 0) return;
-    if (!j.accepted || j.user_cancelled || j.done_told || running(id) == 0) continue;
+    if (!job.accepted || job.user_cancelled || job.completion_reported || running(id) == 0)
+      continue;
     --count;
     cancel_by_user(id);
-    for (auto& [machine, w] : workers_)
-      if (hang_s > 0 && std::any_of(w.tasks.begin(), w.tasks.end(),
-                                    [&job = id](const auto& t) { return t.first.first == job; })) {
-        w.hang_until = std::max(w.hang_until, now_ + hang_s);
+    for (auto& [machine, worker] : workers_)
+      if (hang_s > 0 &&
+          std::any_of(worker.tasks.begin(), worker.tasks.end(),
+                      [&job_id = id](const auto& task) { return task.first.first == job_id; })) {
+        worker.hang_until = std::max(worker.hang_until, now_ + hang_s);
         break;
       }
   }
@@ -119,15 +126,15 @@
   jobs_.at(id).user_cancelled = true;
   user_cancel(id, 0, kAnyNode);
 }
-void ClusterSimulation::delay_report_copies(double for_s, double late_s) {
-  copies_until_ = now_ + for_s;
-  copies_late_ = late_s;
+void ClusterSimulation::duplicate_heartbeats(double for_s, double delay_s) {
+  duplicates_until_ = now_ + for_s;
+  duplicate_delay_s_ = delay_s;
 }
 
 size_t ClusterSimulation::machines_up() const {
-  return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(), [](const auto& w) {
-    return w.second.phase == Worker::Phase::up;
-  }));
+  return static_cast<size_t>(
+      std::count_if(workers_.begin(), workers_.end(),
+                    [](const auto& worker) { return worker.second.phase == Worker::Phase::up; }));
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/gangs.cpp
+++ b/tests/simulation/gangs.cpp
@@ -1,4 +1,4 @@
-// How workers run the tasks of a gang: together, or not at all.
+// The simulated execution of gangs: all tasks of an attempt run, or none does.
 #include <algorithm>
 #include <cmath>
 
@@ -6,85 +6,92 @@
 
 namespace rushtrestle::testing {
 
-// The tasks of an attempt find each other, start and complete together, and end when one of them is
-// gone.
+// Advances the attempts of all gangs. The tasks of an attempt start and complete together, and stop
+// when one of them is gone.
 void ClusterSimulation::advance_gangs() {
-  if (!any_gang_) return;
-  for (auto& [id, j] : jobs_) {
-    if (j.spec.kind != store::JobKind::gang || !j.accepted) continue;
+  if (!has_gangs_) return;
+  for (auto& [id, job] : jobs_) {
+    if (job.spec.kind != store::JobKind::gang || !job.accepted) continue;
     std::map<uint64_t, Attempt> attempts;
-    for (auto& [machine, w] : workers_) {
-      if (w.phase != Worker::Phase::up) continue;
-      for (auto& [key, t] : w.tasks)
-        if (key.first == id) attempts[t.reported.attempt][key.second] = {&t, now_ < w.hang_until};
+    for (auto& [machine, worker] : workers_) {
+      if (worker.phase != Worker::Phase::up) continue;
+      for (auto& [key, task] : worker.tasks)
+        if (key.first == id)
+          attempts[task.reported.attempt][key.second] = {&task, now_ < worker.hang_until};
     }
-    for (auto& [attempt, members] : attempts) advance_attempt(j, members);
+    for (auto& [attempt, members] : attempts) advance_attempt(job, members);
   }
 }
 
-void ClusterSimulation::advance_attempt(Job& j, Attempt& members) {
-  const auto is = [](const Member& m, TaskState s) { return m.task->reported.state == s; };
-  const bool all = members.size() == j.spec.tasks;
-  if (j.completed.size() == j.spec.tasks) {  // the result is kept
-    for (auto& [n, m] : members)
-      if (m.task->gathered_at >= 0 && !is(m, TaskState::exited) && !m.hangs)
-        leave(m, ExitCause::done);
+void ClusterSimulation::advance_attempt(Job& job, Attempt& members) {
+  const auto is = [](const Member& member, TaskState state) {
+    return member.task->reported.state == state;
+  };
+  const bool all = members.size() == job.spec.tasks;
+  if (job.completed.size() == job.spec.tasks) {  // the gang completed in an earlier attempt
+    for (auto& [number, member] : members)
+      if (member.task->gathered_at >= 0 && !is(member, TaskState::exited) && !member.hangs)
+        exit_task(member, ExitCause::done);
     return;
   }
   const auto every = [&](auto condition) {
     return all && std::all_of(members.begin(), members.end(),
-                              [&](const auto& m) { return condition(m.second); });
+                              [&](const auto& member) { return condition(member.second); });
   };
-  if (every([&](const Member& m) {
-        return is(m, TaskState::fetching) && m.task->gathered_at >= 0 && !m.hangs;
+  if (every([&](const Member& member) {
+        return is(member, TaskState::fetching) && member.task->gathered_at >= 0 && !member.hangs;
       })) {
-    for (auto& [n, m] : members) m.task->reported.state = TaskState::running;
-    j.progress = j.safe;
-    j.progressed_at = now_;
-    j.first_stop_at = -1;
-    j.told_to_stop.clear();
+    for (auto& [number, member] : members) member.task->reported.state = TaskState::running;
+    job.progress = job.checkpointed;
+    job.progress_updated_at = now_;
+    job.first_stop_at = -1;
+    job.tasks_asked_to_stop.clear();
   }
-  if (every([&](const Member& m) { return is(m, TaskState::running) && !m.hangs; })) {
-    progress_gang(j, members);
+  if (every(
+          [&](const Member& member) { return is(member, TaskState::running) && !member.hangs; })) {
+    progress_gang(job, members);
     return;
   }
-  j.progressed_at = now_;
-  for (auto& [n, m] : members)
-    if (!m.hangs) notice_peers(j, members, m);
+  job.progress_updated_at = now_;
+  for (auto& [number, member] : members)
+    if (!member.hangs) detect_missing_peers(job, members, member);
 }
 
-void ClusterSimulation::leave(Member& m, ExitCause cause) {
-  m.task->reported.state = TaskState::exited;
-  m.task->reported.cause = cause;
+void ClusterSimulation::exit_task(Member& member, ExitCause cause) {
+  member.task->reported.state = TaskState::exited;
+  member.task->reported.cause = cause;
 }
 
-void ClusterSimulation::progress_gang(Job& j, Attempt& members) {
-  j.progress += now_ - j.progressed_at;
-  j.progressed_at = now_;
-  if (j.spec.checkpoint_s > 0)
-    j.safe = std::max(j.safe, std::floor(j.progress / j.spec.checkpoint_s) * j.spec.checkpoint_s);
-  if (j.progress < j.spec.estimate_s * options_.run_factor) return;
-  for (uint32_t n = 0; n < j.spec.tasks; ++n) j.completed.insert(n);
-  for (auto& [n, m] : members) leave(m, ExitCause::done);
+void ClusterSimulation::progress_gang(Job& job, Attempt& members) {
+  job.progress += now_ - job.progress_updated_at;
+  job.progress_updated_at = now_;
+  if (job.spec.checkpoint_s > 0)
+    job.checkpointed = std::max(
+        job.checkpointed, std::floor(job.progress / job.spec.checkpoint_s) * job.spec.checkpoint_s);
+  if (job.progress < job.spec.estimate_s * options_.run_factor) return;
+  for (uint32_t number = 0; number < job.spec.tasks; ++number) job.completed.insert(number);
+  for (auto& [number, member] : members) exit_task(member, ExitCause::done);
 }
 
-void ClusterSimulation::notice_peers(const Job& j, const Attempt& members, Member& m) {
-  const auto is = [](const Member& member, TaskState s) {
-    return member.task->reported.state == s;
+void ClusterSimulation::detect_missing_peers(const Job& job, const Attempt& members,
+                                             Member& observer) {
+  const auto is = [](const Member& member, TaskState state) {
+    return member.task->reported.state == state;
   };
-  if (is(m, TaskState::fetching) && m.task->gathered_at >= 0 &&
-      now_ - m.task->gathered_at > options_.gang_wait_s)
-    leave(m, ExitCause::stopped);  // `incomplete`
-  if (!is(m, TaskState::running) && !is(m, TaskState::saving)) return;
-  const bool one_is_gone =
-      members.size() < j.spec.tasks ||
-      std::any_of(members.begin(), members.end(), [&](const auto& o) {
-        return o.second.hangs || is(o.second, TaskState::fetching) ||
-               (is(o.second, TaskState::exited) && !o.second.task->reported.saved);
+  if (is(observer, TaskState::fetching) && observer.task->gathered_at >= 0 &&
+      now_ - observer.task->gathered_at > options_.gang_wait_s)
+    exit_task(observer, ExitCause::stopped);  // the gang did not gather: `incomplete`
+  if (!is(observer, TaskState::running) && !is(observer, TaskState::saving)) return;
+  const bool member_missing =
+      members.size() < job.spec.tasks ||
+      std::any_of(members.begin(), members.end(), [&](const auto& other) {
+        return other.second.hangs || is(other.second, TaskState::fetching) ||
+               (is(other.second, TaskState::exited) && !other.second.task->reported.saved);
       });
-  if (!one_is_gone) return;
-  if (m.task->noticed_at < 0) m.task->noticed_at = now_;
-  if (now_ - m.task->noticed_at > options_.gang_peer_s) leave(m, ExitCause::stopped);  // `peers`
+  if (!member_missing) return;
+  if (observer.task->peer_missing_since < 0) observer.task->peer_missing_since = now_;
+  if (now_ - observer.task->peer_missing_since > options_.gang_peer_s)
+    exit_task(observer, ExitCause::stopped);  // another task is gone: `peers`
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/generated_faults.cpp
+++ b/tests/simulation/generated_faults.cpp
@@ -2,99 +2,109 @@
 
 namespace rushtrestle::testing {
 
-std::ostream& operator<<(std::ostream& out, const Fault& t) {
-  return out << "{" << t.at << ", " << t.kind << ", " << t.which << ", " << t.for_s << ", "
-             << t.flag << "}";
+std::ostream& operator<<(std::ostream& out, const Fault& fault) {
+  return out << "{" << fault.at << ", " << fault.kind << ", " << fault.target << ", " << fault.for_s
+             << ", " << fault.variant << "}";
 }
 
-rc::Gen<Fault> faults() {
+rc::Gen<Fault> generated_fault() {
   return rc::gen::apply(
-      [](int at, int kind, size_t which, int for_s, bool flag) {
-        return Fault{static_cast<double>(at), kind, which, static_cast<double>(for_s), flag};
+      [](int at, int kind, size_t target, int for_s, bool variant) {
+        return Fault{static_cast<double>(at), kind, target, static_cast<double>(for_s), variant};
       },
       rc::gen::inRange(20, 110), rc::gen::inRange(0, 30), rc::gen::inRange<size_t>(0, 12),
       rc::gen::inRange(3, 45), rc::gen::arbitrary<bool>());
 }
 
-void play(ClusterSimulation& w, const Fault& t) {
-  const int n = static_cast<int>(t.which % 3);
-  switch (t.kind) {
-    case 0: w.kill_node(n, t.flag ? 0.2 : 5); break;
+void inject(ClusterSimulation& simulation, const Fault& fault) {
+  const int node = static_cast<int>(fault.target % 3);
+  switch (fault.kind) {
+    case 0: simulation.kill_node(node, fault.variant ? 0.2 : 5); break;
     case 1:
-      for (int i = 0; i < 3; ++i) w.kill_node(i, 5);
+      for (int i = 0; i < 3; ++i) simulation.kill_node(i, 5);
       break;
-    case 2: w.state_outage(t.for_s); break;
-    case 3: w.refuse_state(n, t.for_s); break;
-    case 4: w.kill_machine(t.which); break;
-    case 5: w.hang_machine(t.which, t.for_s); break;
-    case 6: w.sick_machine(t.which, t.for_s); break;
-    case 7: w.cut_machine(t.which, t.for_s, t.flag, false); break;
-    case 8: w.cut_machine(t.which, t.for_s, true, true); break;
-    case 9: w.cut_node(n, t.for_s, t.flag); break;
-    case 10: w.cut("node-" + std::to_string(n), "state", t.for_s, t.flag); break;
-    case 11: w.limit_state(t.for_s); break;
-    case 13: w.slow_state(t.for_s); break;
-    case 12: w.cut_workers(n, t.for_s, t.flag); break;
-    case 14: w.freeze_node(n, t.for_s); break;
-    case 15: w.cut_zone(t.flag ? "a" : "b", {n}, t.for_s, t.which % 2 == 0); break;
-    case 16:  // back within a fraction of a second, twice
-      w.kill_node(n, 0.1);
-      w.at(w.now() + 0.3, [&w, n] { w.kill_node(n, 0.1); });
+    case 2: simulation.state_outage(fault.for_s); break;
+    case 3: simulation.refuse_state(node, fault.for_s); break;
+    case 4: simulation.kill_machine(fault.target); break;
+    case 5: simulation.hang_machine(fault.target, fault.for_s); break;
+    case 6: simulation.fail_tasks_on_machine(fault.target, fault.for_s); break;
+    case 7: simulation.cut_machine(fault.target, fault.for_s, fault.variant, false); break;
+    case 8: simulation.cut_machine(fault.target, fault.for_s, true, true); break;
+    case 9: simulation.cut_node(node, fault.for_s, fault.variant); break;
+    case 10:
+      simulation.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
       break;
-    case 17: w.unanswered_writes(t.for_s, 0.3, t.flag); break;
-    case 18: w.keep_report_copies(t.for_s); break;
-    case 19: w.mute_machine(t.which, t.for_s); break;
-    case 20: w.cancel_some_now(1 + t.which % 4, t.flag ? t.for_s / 2 : 0); break;
-    case 21: w.cancel_at_end(t.for_s, 0.4); break;
-    case 22: w.close_looks(t.for_s); break;
-    case 23:  // refused alone, then away for all
-      w.refuse_state(n, 6);
-      w.at(w.now() + 1 + static_cast<double>(t.which) / 4,
-           [&w, t] { w.state_outage(t.flag ? 45 : t.for_s); });
+    case 11: simulation.throttle_state(fault.for_s); break;
+    case 13: simulation.slow_state(fault.for_s); break;
+    case 12: simulation.cut_workers(node, fault.for_s, fault.variant); break;
+    case 14: simulation.freeze_node(node, fault.for_s); break;
+    case 15:
+      simulation.cut_zone(fault.variant ? "a" : "b", {node}, fault.for_s, fault.target % 2 == 0);
       break;
-    case 24:  // loses the state service and the other controllers, not its workers or users
-      w.cut("node-" + std::to_string(n), "state", t.for_s, t.flag);
+    case 16:  // two restarts within half a second
+      simulation.kill_node(node, 0.1);
+      simulation.at(simulation.now() + 0.3,
+                    [&simulation, node] { simulation.kill_node(node, 0.1); });
+      break;
+    case 17: simulation.lose_transaction_answers(fault.for_s, 0.3, fault.variant); break;
+    case 18: simulation.replay_heartbeats_to_new_holders(fault.for_s); break;
+    case 19: simulation.block_heartbeats(fault.target, fault.for_s); break;
+    case 20:
+      simulation.cancel_running_jobs(1 + fault.target % 4, fault.variant ? fault.for_s / 2 : 0);
+      break;
+    case 21: simulation.cancel_jobs_at_completion(fault.for_s, 0.4); break;
+    case 22: simulation.query_after_status_changes(fault.for_s); break;
+    case 23:  // the state service refuses one controller, then all
+      simulation.refuse_state(node, 6);
+      simulation.at(
+          simulation.now() + 1 + static_cast<double>(fault.target) / 4,
+          [&simulation, fault] { simulation.state_outage(fault.variant ? 45 : fault.for_s); });
+      break;
+    case 24:  // loses the state service and the other controllers, but not workers or users
+      simulation.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
       for (int i = 0; i < 3; ++i)
-        if (i != n)
-          w.cut("node-" + std::to_string(n), "node-" + std::to_string(i), t.for_s, t.flag);
+        if (i != node)
+          simulation.cut("node-" + std::to_string(node), "node-" + std::to_string(i), fault.for_s,
+                         fault.variant);
       break;
-    case 25:  // leaders change again and again
+    case 25:  // repeated changes of the leader
       for (int k = 0; k < 6; ++k)
-        w.at(w.now() + 4 * k, [&w, k] { w.kill_node(k % 3, k % 2 ? 0.2 : 3); });
+        simulation.at(simulation.now() + 4 * k,
+                      [&simulation, k] { simulation.kill_node(k % 3, k % 2 ? 0.2 : 3); });
       break;
-    case 26: w.starve_node(n, t.for_s, t.flag ? 0.3 : 1.5); break;
+    case 26: simulation.starve_node(node, fault.for_s, fault.variant ? 0.3 : 1.5); break;
     case 27:
-      for (int i = 0; i < 3; ++i) w.starve_node(i, t.for_s, t.flag ? 0.2 : 0.8);
+      for (int i = 0; i < 3; ++i) simulation.starve_node(i, fault.for_s, fault.variant ? 0.2 : 0.8);
       break;
     case 28:
-      w.starve_node(n, 0.1, t.for_s);
-      break;  // one pause of any length between a decision and its sending
-    default: w.delay_report_copies(t.for_s, t.for_s); break;
+      simulation.starve_node(node, 0.1, fault.for_s);
+      break;  // a single pause between a decision and the sending of its effects
+    default: simulation.duplicate_heartbeats(fault.for_s, fault.for_s); break;
   }
 }
 
 store::JobSpec random_job(int number, std::mt19937_64& rng) {
-  store::JobSpec s;
-  s.id = "job-" + std::to_string(number);
-  s.team = rng() % 2 ? "red" : "blue";
+  store::JobSpec spec;
+  spec.id = "job-" + std::to_string(number);
+  spec.team = rng() % 2 ? "red" : "blue";
   const bool service = rng() % 2;
-  s.kind = service ? store::JobKind::service : store::JobKind::array;
-  s.job_class = service ? "gateway" : "batch";
-  s.rank = service ? store::Rank::production : static_cast<store::Rank>(rng() % 3);
-  s.tasks = 1 + static_cast<uint32_t>(rng() % (service ? 3 : 5));
-  s.per_task = rng() % 3 ? store::Resources{2, 0, 4} : store::Resources{4, 1, 8};
-  s.image = "img-" + std::to_string(rng() % 3);
-  s.image_gb = 1 + static_cast<double>(rng() % 3);
-  s.estimate_s = service ? 0 : 3 + static_cast<double>(rng() % 25);
-  s.spread = service && rng() % 2;
-  s.one_zone = !s.spread && rng() % 3 == 0;
-  s.spot = !service;
-  if (!service && rng() % 3 == 0) s.kind = store::JobKind::gang;
+  spec.kind = service ? store::JobKind::service : store::JobKind::array;
+  spec.job_class = service ? "gateway" : "batch";
+  spec.rank = service ? store::Rank::production : static_cast<store::Rank>(rng() % 3);
+  spec.tasks = 1 + static_cast<uint32_t>(rng() % (service ? 3 : 5));
+  spec.per_task = rng() % 3 ? store::Resources{2, 0, 4} : store::Resources{4, 1, 8};
+  spec.image = "img-" + std::to_string(rng() % 3);
+  spec.image_gb = 1 + static_cast<double>(rng() % 3);
+  spec.estimate_s = service ? 0 : 3 + static_cast<double>(rng() % 25);
+  spec.spread = service && rng() % 2;
+  spec.one_zone = !spec.spread && rng() % 3 == 0;
+  spec.spot = !service;
+  if (!service && rng() % 3 == 0) spec.kind = store::JobKind::gang;
   if (!service && rng() % 2) {
-    s.checkpoint_s = 5;
-    s.save_s = 2;
+    spec.checkpoint_s = 5;
+    spec.save_s = 2;
   }
-  return s;
+  return spec;
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/generated_faults.h
+++ b/tests/simulation/generated_faults.h
@@ -1,4 +1,4 @@
-// Generated troubles and work, shared by the tests that play whole schedules of them.
+// Generators of faults and jobs, shared by the tests that run random schedules of them.
 #pragma once
 #include <rapidcheck.h>
 
@@ -9,22 +9,24 @@
 
 namespace rushtrestle::testing {
 
-/// One trouble: what (`kind`), when, to which machine or controller, and for how long.
+/// One fault. `kind` is a case of inject(); `at` and `for_s` are its time and duration in seconds.
+/// `target` selects the machine or controller, modulo their number; `variant` modifies the fault.
 struct Fault {
   double at;
   int kind;
-  size_t which;
+  size_t target;
   double for_s;
-  bool flag;
+  bool variant;
 };
 
-std::ostream& operator<<(std::ostream& out, const Fault& t);
+std::ostream& operator<<(std::ostream& out, const Fault& fault);
 
-/// Troubles of all kinds within the first two minutes.
-rc::Gen<Fault> faults();
-void play(ClusterSimulation& w, const Fault& t);
+/// Generates a fault of any kind that begins within the first two minutes.
+rc::Gen<Fault> generated_fault();
+/// Starts the fault now.
+void inject(ClusterSimulation& simulation, const Fault& fault);
 
-/// A job of any sort, chosen by `rng`.
+/// Returns a random job with the id job-`number`.
 store::JobSpec random_job(int number, std::mt19937_64& rng);
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/simulated_controller.cpp
+++ b/tests/simulation/simulated_controller.cpp
@@ -16,8 +16,8 @@
 
 class CurrentController final : public SimulatedController {
  public:
-  explicit CurrentController(const ControllerStart& s)
-      : core_(s.settings, s.operators, s.incarnation, s.seed, s.log_level) {}
+  explicit CurrentController(const ControllerStart& start)
+      : core_(start.settings, start.operators, start.incarnation, start.seed, start.log_level) {}
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock) override {
     std::vector<Effect> effects = core_.handle(commands, clock);
     for (const Effect& effect : effects) record_effect(effect);
@@ -31,9 +31,9 @@
 
 class EarlierController final : public SimulatedController {
  public:
-  EarlierController(const previous_versions::Version& version, const ControllerStart& s)
-      : controller_(version.start(
-            {exchange::save(s.settings), exchange::save(s.operators), s.incarnation, s.seed})) {}
+  EarlierController(const previous_versions::Version& version, const ControllerStart& start)
+      : controller_(version.start({exchange::save(start.settings), exchange::save(start.operators),
+                                   start.incarnation, start.seed})) {}
   std::vector<Effect> handle(std::deque<Command>& commands, const Clock& clock) override {
     const std::vector<Command> batch(std::make_move_iterator(commands.begin()),
                                      std::make_move_iterator(commands.end()));
--- a/tests/simulation/simulated_controller.h
+++ b/tests/simulation/simulated_controller.h
@@ -1,4 +1,4 @@
-// A controller in the simulated world: the core as it stands, or an earlier version of it.
+// A controller of the simulation: the current core or an earlier version of it.
 #pragma once
 #include <deque>
 #include <memory>
@@ -21,7 +21,8 @@
   virtual ~SimulatedController() = default;
   virtual std::vector<coordination::Effect> handle(std::deque<coordination::Command>& commands,
                                                    const coordination::Clock& clock) = 0;
-  /// Steady time of the next tick, asked after `handle`; none: this version is ticked all the time.
+  /// Returns the steady time of the next tick in seconds, for use after `handle`; nullopt: this
+  /// version is ticked at a fixed interval.
   virtual std::optional<double> next_wakeup() { return std::nullopt; }
 };
 
--- a/tests/simulation/state_store.cpp
+++ b/tests/simulation/state_store.cpp
@@ -1,16 +1,15 @@
-// The state service as the simulated world has it: outages, refusals and delays around the stand-in
-// itself.
+// The simulated state service: outages, refusals, delays and rule checks around FakeStateStore.
 #include <algorithm>
 
 #include "simulation/cluster_simulation.h"
 
 namespace rushtrestle::testing {
 
-// Just as the new holder begins: with what tells it that it holds the part, or moments later, and
-// once more after.
-void ClusterSimulation::send_kept_copies(const std::string& key) {
+// Delivers the recorded heartbeats twice when a controller acquires a shard or the leadership:
+// within 0.05 s, about when the new holder learns of it, and within 3 s.
+void ClusterSimulation::replay_recorded_heartbeats(const std::string& key) {
   if (key != store::leader_key && key.rfind("part/", 0) != 0) return;
-  for (auto& arrive : std::exchange(kept_copies_, {}))
+  for (auto& arrive : std::exchange(recorded_deliveries_, {}))
     for (const double within : {0.05, 3.0})
       at(now_ + std::uniform_real_distribution<>(0, within)(rng_), arrive);
 }
@@ -24,7 +23,7 @@
   at(outage_until_, [this] { state_.renew_all_leases(now_); });
 }
 
-void ClusterSimulation::limit_state(double for_s) { limited_until_ = now_ + for_s; }
+void ClusterSimulation::throttle_state(double for_s) { throttled_until_ = now_ + for_s; }
 
 void ClusterSimulation::lower_state_limits(double value_kb, int txn_ops) {
   state_.set_limits(value_kb, txn_ops);
@@ -41,55 +40,59 @@
   refused_until_[node] = now_ + for_s;
 }
 
-void ClusterSimulation::watch(int n, int generation, const Call& c, double deadline) {
+void ClusterSimulation::watch(int node_index, int generation, const Call& call, double deadline) {
   expire_leases();
-  const auto& w = std::get<Watch>(c.body);
-  if (nodes_[static_cast<size_t>(n)].generation != generation || now_ > deadline) return;
-  const bool down = now_ < outage_until_ || now_ < refused_until_[n];
+  const auto& request = std::get<Watch>(call.body);
+  if (nodes_[static_cast<size_t>(node_index)].generation != generation || now_ > deadline) return;
+  const bool down = now_ < outage_until_ || now_ < refused_until_[node_index];
   WatchReply reply{state_.revision(), {}};
-  if (!down) reply = *state_.changes_since(w.since);
+  if (!down) reply = *state_.changes_since(request.since);
   if (down || (reply.events.empty() && now_ + 0.01 < deadline - settings_.heartbeat_interval_s)) {
-    at(now_ + 0.01, [this, n, generation, c, deadline] { watch(n, generation, c, deadline); });
+    at(now_ + 0.01, [this, node_index, generation, call, deadline] {
+      watch(node_index, generation, call, deadline);
+    });
     return;
   }
-  send("state", node_name(n),
-       [this, n, generation, done = CallDone{c.id, 200, std::move(reply)}]() mutable {
-         if (nodes_[static_cast<size_t>(n)].generation == generation) deliver(n, std::move(done));
+  send("state", node_name(node_index),
+       [this, node_index, generation, done = CallDone{call.id, 200, std::move(reply)}]() mutable {
+         if (nodes_[static_cast<size_t>(node_index)].generation == generation)
+           deliver(node_index, std::move(done));
        });
 }
 
-// What was written before the limits fell may be larger; above the present ones nobody may write.
-void ClusterSimulation::check_value_sizes(const Txn& t) {
-  const auto most = static_cast<size_t>(kPresentLimits.first * 1024);
-  for (const auto& w : t.writes)
-    if (w.value && w.value->dump().size() > most &&
-        state_.largest_value_kb() >= kPresentLimits.first)
-      fail("value of " + w.key + " is too large");
+// Checks that no value exceeds the initial limit, except after the store's limit has been lowered:
+// then the store itself refuses larger values.
+void ClusterSimulation::check_value_sizes(const Txn& transaction) {
+  const auto limit = static_cast<size_t>(kInitialLimits.first * 1024);
+  for (const auto& write : transaction.writes)
+    if (write.value && write.value->dump().size() > limit &&
+        state_.largest_value_kb() >= kInitialLimits.first)
+      fail("value of " + write.key + " is too large");
 }
 
-CallDone ClusterSimulation::at_state(int n, const Call& c) {
+CallDone ClusterSimulation::handle_state_call(int node_index, const Call& call) {
   expire_leases();
-  CallDone done{c.id, 200, {}};
-  if (now_ < outage_until_ || now_ < refused_until_[n]) {
+  CallDone done{call.id, 200, {}};
+  if (now_ < outage_until_ || now_ < refused_until_[node_index]) {
     done.status = 503;
     return done;
   }
-  const auto* transaction = std::get_if<Txn>(&c.body);
-  if (now_ < limited_until_ && transaction && rng_() % 2) {
+  const auto* transaction = std::get_if<Txn>(&call.body);
+  if (now_ < throttled_until_ && transaction && rng_() % 2) {
     done.status = 429;
     return done;
   }
-  ++work_.state_requests;
+  ++counters_.state_requests;
   if (transaction) {
-    work_.writes += transaction->writes.size();
+    counters_.writes += transaction->writes.size();
     for (const auto& write : transaction->writes)
-      if (write.value) work_.bytes_written += write.value->dump().size();
-    work_.job_writes += static_cast<size_t>(
+      if (write.value) counters_.bytes_written += write.value->dump().size();
+    counters_.job_writes += static_cast<size_t>(
         std::count_if(transaction->writes.begin(), transaction->writes.end(),
                       [](const Write& write) { return write.key.rfind("job/", 0) == 0; }));
     check_value_sizes(*transaction);
   }
-  return state_.answer(c, now_);
+  return state_.answer(call, now_);
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/simulation/users.cpp
+++ b/tests/simulation/users.cpp
@@ -1,5 +1,4 @@
-// The stand-in of the users: submissions, polls and cancellations, each repeated as the protocol
-// has it.
+// The simulated users: submissions, polls and cancellations, each repeated as the protocol demands.
 #include <algorithm>
 
 #include "simulation/cluster_simulation.h"
@@ -8,7 +7,7 @@
 
 void ClusterSimulation::submit(const store::JobSpec& spec, double at_s) {
   jobs_[spec.id].spec = spec;
-  any_gang_ |= spec.kind == store::JobKind::gang;
+  has_gangs_ |= spec.kind == store::JobKind::gang;
   at(at_s, [this, id = spec.id] {
     jobs_[id].submitted = true;
     jobs_[id].first_submit = now_;
@@ -16,35 +15,37 @@
   });
 }
 
-void ClusterSimulation::user_ask(int node, const std::function<Command(RequestId)>& make,
-                                 const std::function<void(std::optional<AnswerUser>)>& then) {
-  const int n = node == kAnyNode ? static_cast<int>(rng_() % nodes_.size()) : node;
-  const RequestId r = next_request_++;
-  auto once = std::make_shared<bool>(false);
-  user_waiting_[r] = {[once, then](std::optional<AnswerUser> a) {
-    if (!std::exchange(*once, true)) then(std::move(a));
+void ClusterSimulation::send_user_request(
+    int node, const std::function<Command(RequestId)>& make,
+    const std::function<void(std::optional<AnswerUser>)>& then) {
+  const int node_index = node == kAnyNode ? static_cast<int>(rng_() % nodes_.size()) : node;
+  const RequestId request = next_request_++;
+  auto answered = std::make_shared<bool>(false);
+  user_waiting_[request] = {[answered, then](std::optional<AnswerUser> answer) {
+    if (!std::exchange(*answered, true)) then(std::move(answer));
   }};
-  at(now_ + 5, [this, r, once, then] {
-    user_waiting_.erase(r);
-    if (!std::exchange(*once, true)) then(std::nullopt);
+  at(now_ + 5, [this, request, answered, then] {
+    user_waiting_.erase(request);
+    if (!std::exchange(*answered, true)) then(std::nullopt);
   });
-  send("users", node_name(n), [this, n, command = make(r)] { deliver(n, command); });
+  send("users", node_name(node_index),
+       [this, node_index, command = make(request)] { deliver(node_index, command); });
 }
 
 void ClusterSimulation::user_submit(const std::string& id, int tries) {
-  user_ask(
+  send_user_request(
       kAnyNode,
-      [this, id](RequestId r) {
-        return SubmitJob{r, jobs_.at(id).spec};
+      [this, id](RequestId request) {
+        return SubmitJob{request, jobs_.at(id).spec};
       },
-      [this, id, tries](std::optional<AnswerUser> a) {
-        Job& j = jobs_.at(id);
-        if (a && (a->status == 200 || a->status == 201)) {
-          if (!std::exchange(j.accepted, true)) look_closely(id);
+      [this, id, tries](std::optional<AnswerUser> answer) {
+        Job& job = jobs_.at(id);
+        if (answer && (answer->status == 200 || answer->status == 201)) {
+          if (!std::exchange(job.accepted, true)) query_all_nodes(id);
           at(now_ + 1, [this, id] { user_poll(id); });
-        } else if (a && (a->status == 400 || a->status == 422)) {
-          if (j.accepted) fail("forgotten: repeated submission of " + id + " refused");
-          j.refused_for_good = true;
+        } else if (answer && (answer->status == 400 || answer->status == 422)) {
+          if (job.accepted) fail("forgotten: repeated submission of " + id + " refused");
+          job.permanently_rejected = true;
         } else if (tries < 60) {
           at(now_ + 1, [this, id, tries] { user_submit(id, tries + 1); });
         }
@@ -55,75 +56,79 @@
   user_query(id, kAnyNode, [this, id] { at(now_ + 5, [this, id] { user_poll(id); }); });
 }
 
-void ClusterSimulation::ask(const std::string& id, double at_s, int node) {
+void ClusterSimulation::query_job(const std::string& id, double at_s, int node) {
   at(at_s, [this, id, node] { user_query(id, node, [] {}); });
 }
 
-void ClusterSimulation::note_cancelled(Job& j) {
-  if (std::exchange(j.cancel_told, true)) return;
-  j.cancel_told_at = now_;
-  look_closely(j.spec.id);
+void ClusterSimulation::record_cancellation(Job& job) {
+  if (std::exchange(job.cancellation_confirmed, true)) return;
+  job.cancellation_confirmed_at = now_;
+  query_all_nodes(job.spec.id);
 }
 
-void ClusterSimulation::look_closely(const std::string& id) {
-  if (now_ >= looks_until_) return;
-  for (int n = 0; n < options_.nodes; ++n) {
-    for (int i = 0; i < 3; ++i) ask(id, now_ + std::uniform_real_distribution<>(0, 0.02)(rng_), n);
+void ClusterSimulation::query_all_nodes(const std::string& id) {
+  if (now_ >= extra_queries_until_) return;
+  for (int node_index = 0; node_index < options_.nodes; ++node_index) {
+    for (int i = 0; i < 3; ++i)
+      query_job(id, now_ + std::uniform_real_distribution<>(0, 0.02)(rng_), node_index);
     at(now_ + std::uniform_real_distribution<>(0, 0.02)(rng_),
-       [this, id, n] { repeat_submission(id, n); });
+       [this, id, node_index] { repeat_submission(id, node_index); });
   }
-  if (jobs_.at(id).done_told && rng_() % 2) {
-    // Too late: the answer is that it is done, from whatever node.
+  if (jobs_.at(id).completion_reported && rng_() % 2) {
+    // A cancellation after completion: every node has to answer that the job is done.
     jobs_.at(id).user_cancelled = true;
     user_cancel(id, 0, kAnyNode);
   }
 }
 
 void ClusterSimulation::repeat_submission(const std::string& id, int node) {
-  const bool was_done = jobs_.at(id).done_told, was_cancelled = jobs_.at(id).cancel_told;
-  user_ask(
+  const bool was_done = jobs_.at(id).completion_reported,
+             was_cancelled = jobs_.at(id).cancellation_confirmed;
+  send_user_request(
       node,
-      [this, id](RequestId r) {
-        return SubmitJob{r, jobs_.at(id).spec};
+      [this, id](RequestId request) {
+        return SubmitJob{request, jobs_.at(id).spec};
       },
-      [this, id, was_done, was_cancelled](std::optional<AnswerUser> a) {
-        if (!a || a->status == 503 || a->status == 429) return;
-        if (a->status != 200)
+      [this, id, was_done, was_cancelled](std::optional<AnswerUser> answer) {
+        if (!answer || answer->status == 503 || answer->status == 429) return;
+        if (answer->status != 200)
           return fail("forgotten: repeated submission of " + id + " gets " +
-                      std::to_string(a->status));
-        if ((was_done && a->job->status != store::JobStatus::done) ||
-            (was_cancelled && a->job->status != store::JobStatus::cancelled))
+                      std::to_string(answer->status));
+        if ((was_done && answer->job->status != store::JobStatus::done) ||
+            (was_cancelled && answer->job->status != store::JobStatus::cancelled))
           fail("went_back: repeated submission of " + id);
       });
 }
 
 void ClusterSimulation::user_query(const std::string& id, int node,
                                    const std::function<void()>& then) {
-  // Answers may cross: only what was sent after an older answer arrived has to be as new.
-  const bool was_done = jobs_.at(id).done_told, was_cancelled = jobs_.at(id).cancel_told;
-  user_ask(
+  // Answers may overtake each other. An answer has to be at least as recent as those that had
+  // arrived when the query was sent.
+  const bool was_done = jobs_.at(id).completion_reported,
+             was_cancelled = jobs_.at(id).cancellation_confirmed;
+  send_user_request(
       node,
-      [id](RequestId r) {
-        return QueryJob{r, id};
+      [id](RequestId request) {
+        return QueryJob{request, id};
       },
-      [this, id, was_done, was_cancelled, then](std::optional<AnswerUser> a) {
-        Job& j = jobs_.at(id);
-        if (a && a->status == 404) fail("forgotten: " + id + " gets 404");
-        if (a && a->status == 200) {
-          const auto status = a->job->status;
-          j.last_told = status == store::JobStatus::done   ? "done"
-                        : status == store::JobStatus::open ? "open"
-                                                           : "cancelled";
+      [this, id, was_done, was_cancelled, then](std::optional<AnswerUser> answer) {
+        Job& job = jobs_.at(id);
+        if (answer && answer->status == 404) fail("forgotten: " + id + " gets 404");
+        if (answer && answer->status == 200) {
+          const auto status = answer->job->status;
+          job.last_reported = status == store::JobStatus::done   ? "done"
+                              : status == store::JobStatus::open ? "open"
+                                                                 : "cancelled";
           if (status == store::JobStatus::done) {
-            if (!std::exchange(j.done_told, true)) look_closely(id);
-            if (j.completed.size() != j.spec.tasks) fail("not_done: " + id);
+            if (!std::exchange(job.completion_reported, true)) query_all_nodes(id);
+            if (job.completed.size() != job.spec.tasks) fail("not_done: " + id);
             if (was_cancelled) fail("went_back: " + id + " cancelled, then done");
           } else if (was_done || (was_cancelled && status == store::JobStatus::open)) {
             fail("went_back: " + id);
           }
-          if (status == store::JobStatus::cancelled && !j.user_cancelled)
+          if (status == store::JobStatus::cancelled && !job.user_cancelled)
             fail("went_back: " + id + " nobody cancelled");
-          if (status == store::JobStatus::cancelled) note_cancelled(j);
+          if (status == store::JobStatus::cancelled) record_cancellation(job);
         }
         then();
       });
@@ -138,19 +143,20 @@
 }
 
 void ClusterSimulation::user_cancel(const std::string& id, int tries, int node) {
-  user_ask(
+  send_user_request(
       node,
-      [id](RequestId r) {
-        return CancelJob{r, id};
+      [id](RequestId request) {
+        return CancelJob{request, id};
       },
-      [this, id, tries, node, was_done = jobs_.at(id).done_told](std::optional<AnswerUser> a) {
-        Job& j = jobs_.at(id);
-        if (a && a->status == 404) fail("forgotten: cancellation of " + id + " gets 404");
-        if (a && a->status == 200) {
-          if (a->job->status == store::JobStatus::cancelled) note_cancelled(j);
-          if (was_done && a->job->status != store::JobStatus::done)
+      [this, id, tries, node,
+       was_done = jobs_.at(id).completion_reported](std::optional<AnswerUser> answer) {
+        Job& job = jobs_.at(id);
+        if (answer && answer->status == 404) fail("forgotten: cancellation of " + id + " gets 404");
+        if (answer && answer->status == 200) {
+          if (answer->job->status == store::JobStatus::cancelled) record_cancellation(job);
+          if (was_done && answer->job->status != store::JobStatus::done)
             fail("went_back: cancellation of " + id + ", which is done");
-          if (a->job->status == store::JobStatus::open)
+          if (answer->job->status == store::JobStatus::open)
             fail("cancellation of " + id + " answered with an open job");
           return;
         }
@@ -158,11 +164,11 @@
       });
 }
 
-std::optional<std::string> ClusterSimulation::told(const std::string& job) const {
-  return jobs_.at(job).last_told;
+std::optional<std::string> ClusterSimulation::last_reported_status(const std::string& job) const {
+  return jobs_.at(job).last_reported;
 }
-bool ClusterSimulation::cancel_told(const std::string& job) const {
-  return jobs_.at(job).cancel_told;
+bool ClusterSimulation::cancellation_confirmed(const std::string& job) const {
+  return jobs_.at(job).cancellation_confirmed;
 }
 bool ClusterSimulation::cancelled_by_user(const std::string& job) const {
   return jobs_.at(job).user_cancelled;
@@ -175,22 +181,25 @@
   return it == starts.end() ? 0 : it->second;
 }
 
-const Json* ClusterSimulation::stored(const std::string& key) const { return state_.value_of(key); }
+const Json* ClusterSimulation::stored_value(const std::string& key) const {
+  return state_.value_of(key);
+}
 
-size_t ClusterSimulation::gathering(const std::string& job) const {
-  size_t n = 0;
-  for (const auto& [id, w] : workers_)
-    for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.reported.state == TaskState::fetching && t.gathered_at >= 0) ++n;
-  return n;
+size_t ClusterSimulation::tasks_waiting_for_gang(const std::string& job) const {
+  size_t count = 0;
+  for (const auto& [id, worker] : workers_)
+    for (const auto& [key, task] : worker.tasks)
+      if (key.first == job && task.reported.state == TaskState::fetching && task.gathered_at >= 0)
+        ++count;
+  return count;
 }
 
 size_t ClusterSimulation::running(const std::string& job) const {
-  size_t n = 0;
-  for (const auto& [id, w] : workers_)
-    for (const auto& [key, t] : w.tasks)
-      if (key.first == job && t.reported.state == TaskState::running) ++n;
-  return n;
+  size_t count = 0;
+  for (const auto& [id, worker] : workers_)
+    for (const auto& [key, task] : worker.tasks)
+      if (key.first == job && task.reported.state == TaskState::running) ++count;
+  return count;
 }
 
 }  // namespace rushtrestle::testing
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -22,7 +22,9 @@
   return s;
 }
 
-std::string first(const ClusterSimulation& w) { return w.broken.empty() ? "" : w.broken.front(); }
+std::string first(const ClusterSimulation& w) {
+  return w.violations.empty() ? "" : w.violations.front();
+}
 
 ClusterSimulation::Options fleet() {
   ClusterSimulation::Options options;
@@ -45,14 +47,14 @@
     w.submit(service("job-1", 16), 3);
     w.run_until(40);
     ASSERT_EQ(w.running("job-1"), 16u);
-    const int owner = w.owner_of("job-1").value();
+    const int owner = w.shard_holder_of("job-1").value();
     w.freeze_node(owner, 8);
     w.run_until(48);
     w.starve_node(owner, 4, 0.4);
     w.run_until(90);
     EXPECT_EQ(w.running("job-1"), 16u) << seed;
     EXPECT_EQ(w.starts_of("job-1"), 16u) << seed;
-    EXPECT_TRUE(w.broken.empty()) << first(w);
+    EXPECT_TRUE(w.violations.empty()) << first(w);
   }
 }
 
@@ -64,15 +66,15 @@
   w.run_until(40);
   for (int n = 0; n < 3; ++n) w.starve_node(n, 30, 0.9);
   w.run_until(45);
-  const auto before = w.work();
-  for (int i = 0; i < 20; ++i) w.ask("job-1", 46 + i, i % 3);
+  const auto before = w.counters();
+  for (int i = 0; i < 20; ++i) w.query_job("job-1", 46 + i, i % 3);
   w.submit(service("job-2", 2), 50);
   w.run_until(120);
-  EXPECT_GT(w.work().refusals, before.refusals);
+  EXPECT_GT(w.counters().retry_later_answers, before.retry_later_answers);
   EXPECT_TRUE(w.accepted("job-2"));
   EXPECT_EQ(w.running("job-2"), 2u);
   EXPECT_EQ(w.starts_of("job-1"), 2u);
-  EXPECT_TRUE(w.broken.empty()) << first(w);
+  EXPECT_TRUE(w.violations.empty()) << first(w);
 }
 
 // One pause of any length between a decision and its sending, longer than the controller's lease
@@ -88,9 +90,9 @@
         if (i % 2) w.cancel("job-" + std::to_string(i), 22 + 2.0 * i);
       }
       w.run_until(20 + static_cast<double>(seed));
-      w.starve_node(w.owner_of("job-0").value(), 0.1, pause);
+      w.starve_node(w.shard_holder_of("job-0").value(), 0.1, pause);
       w.run_until(160);
-      EXPECT_TRUE(w.broken.empty()) << first(w) << ", pause " << pause << ", seed " << seed;
+      EXPECT_TRUE(w.violations.empty()) << first(w) << ", pause " << pause << ", seed " << seed;
       for (int i = 0; i < 12; i += 2)
         EXPECT_EQ(w.running("job-" + std::to_string(i)), 2u) << pause << " " << seed;
       for (int i = 1; i < 12; i += 2)
@@ -107,7 +109,7 @@
   w.submit(service("job-1", 2), 3);
   w.run_until(30);
   EXPECT_FALSE(w.accepted("job-1"));
-  EXPECT_GT(w.work().refusals, 0u);
+  EXPECT_GT(w.counters().retry_later_answers, 0u);
 }
 
 }  // namespace
--- a/tests/support/effect_digest.cpp
+++ b/tests/support/effect_digest.cpp
@@ -16,7 +16,7 @@
 
 using namespace coordination;
 
-/// FNV-1a over all that is added, with a separator after each field.
+/// An FNV-1a hash of all added fields, with a separator after each field.
 class RunningHash {
  public:
   explicit RunningHash(std::string file) : file_(std::move(file)) {}
--- a/tests/support/effect_digest.h
+++ b/tests/support/effect_digest.h
@@ -1,9 +1,9 @@
-// Shows whether a change of the code changed what the program does.
+// Hashes the effects of the simulated controllers, to show whether a code change altered behaviour.
 //
 // With the environment variable EFFECT_DIGEST set to a file name, every effect of the simulated
-// controllers of the current version, encoded for the wire, goes into one running hash; at the end
+// controllers of the current version, encoded for the wire, goes into one running hash. At the end
 // of the process a line with the hash and the number of effects is appended to the file. Log lines
-// and `/stats` are left out: both may change their wording. tests/effect_digests.sh runs each test
+// and `/stats` are left out because their texts may change. tests/effect_digests.sh runs each test
 // by itself and prints the lines of all of them.
 #pragma once
 #include "coordination/core.h"
--- a/tests/support/sample_records.h
+++ b/tests/support/sample_records.h
@@ -1,4 +1,4 @@
-// Records for tests of the store.
+// Sample records for tests of the store.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,7 +7,7 @@
 
 namespace rushtrestle::store {
 
-/// A service of four tasks: one is done, one runs, one is being stopped, one waits.
+/// Returns a service of four tasks: one is done, one runs, one is being stopped, one waits.
 inline JobRecord sample_job_record() {
   JobRecord record;
   record.spec.id = "job-7";
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -79,13 +79,13 @@
 }
 
 void expect_served(const ClusterSimulation& w, int jobs) {
-  for (const auto& b : w.broken) ADD_FAILURE() << b;
+  for (const auto& b : w.violations) ADD_FAILURE() << b;
   for (int i = 0; i < jobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     ASSERT_TRUE(w.accepted(id)) << id;
     if (w.cancelled_by_user(id)) continue;
-    EXPECT_TRUE(w.told(id) == "done" || w.running(id) > 0)
-        << id << " " << w.stored("job/" + id)->dump();
+    EXPECT_TRUE(w.last_reported_status(id) == "done" || w.running(id) > 0)
+        << id << " " << w.stored_value("job/" + id)->dump();
   }
 }
 
@@ -144,8 +144,8 @@
       w.cancel("job-1", 60.8, 0);
       w.at(62.5, [&w] { w.state_outage(60); });
       w.run_until(150);
-      EXPECT_TRUE(w.cancel_told("job-1"));
-      broken += !w.broken.empty();
+      EXPECT_TRUE(w.cancellation_confirmed("job-1"));
+      broken += !w.violations.empty();
     }
     return broken;
   };
@@ -181,23 +181,24 @@
     ClusterSimulation w(options);
     w.submit(large_array(60, 500), 3);
     w.run_until(40);
-    ASSERT_EQ(w.placed("job-1"), 60u);
+    ASSERT_EQ(w.placed_tasks("job-1"), 60u);
     for (int n = 0; n < 3; ++n)
       w.at(42 + 6 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 3); });
     w.at(75, [&w] { w.lower_state_limits(); });
     w.cancel("job-1", 80);
     if (seed % 2) w.at(80.05, [&w, seed] { w.kill_node(static_cast<int>(seed % 3), 0.3); });
     w.run_until(90);
-    EXPECT_TRUE(w.cancel_told("job-1"));
+    EXPECT_TRUE(w.cancellation_confirmed("job-1"));
     w.run_until(80 + 39);
     EXPECT_EQ(w.running("job-1"), 0u);
-    EXPECT_EQ(w.placed("job-1"), 0u) << "its machines are free again";
+    EXPECT_EQ(w.placed_tasks("job-1"), 0u) << "its machines are free again";
     // It stays cancelled for those that come later, and for the record itself.
     for (int n = 0; n < 3; ++n) w.kill_node(n, 1);
     w.run_until(140);
-    EXPECT_EQ(w.told("job-1"), "cancelled");
-    EXPECT_EQ(w.stored("job/job-1")->at("status"), static_cast<int>(store::JobStatus::cancelled));
-    for (const auto& b : w.broken) ADD_FAILURE() << b;
+    EXPECT_EQ(w.last_reported_status("job-1"), "cancelled");
+    EXPECT_EQ(w.stored_value("job/job-1")->at("status"),
+              static_cast<int>(store::JobStatus::cancelled));
+    for (const auto& b : w.violations) ADD_FAILURE() << b;
   }
 }
 
@@ -215,11 +216,13 @@
     w.at(55, [&w] { w.lower_state_limits(); });
     w.cancel("job-1", 58);
     w.run_until(65);
-    EXPECT_EQ(w.stored("cancel/job-1"), nullptr);
-    EXPECT_EQ(w.stored("format"), nullptr);
+    EXPECT_EQ(w.stored_value("cancel/job-1"), nullptr);
+    EXPECT_EQ(w.stored_value("format"), nullptr);
     w.run_until(150);
-    EXPECT_TRUE(w.told("job-1") == "cancelled" || w.told("job-1") == "done") << "in the end";
-    for (const auto& b : w.broken) ADD_FAILURE() << b;
+    EXPECT_TRUE(w.last_reported_status("job-1") == "cancelled" ||
+                w.last_reported_status("job-1") == "done")
+        << "in the end";
+    for (const auto& b : w.violations) ADD_FAILURE() << b;
   }
 }
 
@@ -234,20 +237,21 @@
   ClusterSimulation::Options options;
   options.seed = seed;
   options.next_limits = std::make_pair(0.9, 4);
-  options.uneven = 0.03;
+  options.runtime_increase_per_task = 0.03;
   for (int n = 0; n < 3; ++n) options.versions[n] = ControllerVersion::commit_9fefab8;
   ClusterSimulation w(options);
   w.submit(large_array(50, 45), 3);
   for (int n = 0; n < 3; ++n)
     w.at(30 + 4 * n, [&w, n] { w.replace_node(n, ControllerVersion::current, 1); });
   w.at(50, [&w] { w.lower_state_limits(); });
-  w.at(51, [&w, late] { w.unanswered_writes(60, 0.3, !late); });
+  w.at(51, [&w, late] { w.lose_transaction_answers(60, 0.3, !late); });
   for (const int k : kills) w.at(k / 10.0, [&w, k] { w.kill_node(k % 3, k % 2 ? 0.3 : 4); });
   w.cancel("job-1", at / 10.0);
   w.run_until(260);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
-  RC_ASSERT(w.told("job-1") == "cancelled" || w.told("job-1") == "done");
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
+  RC_ASSERT(w.last_reported_status("job-1") == "cancelled" ||
+            w.last_reported_status("job-1") == "done");
 }
 
 // All tasks end at once, and for some seconds no transaction gets an answer and each is carried out
@@ -267,11 +271,11 @@
     w.at(40, [&w] { w.lower_state_limits(); });
     w.run_until(50);
     while (w.now() < 80 && w.running("job-1") > 0) w.run_until(w.now() + 0.05);
-    w.unanswered_writes(20, 1, false);
+    w.lose_transaction_answers(20, 1, false);
     for (int n = 0; n < 3; ++n) w.cancel("job-1", w.now() + 0.02 * static_cast<double>(seed), n);
     w.run_until(w.now() + 60);
-    told += w.cancel_told("job-1");
-    for (const auto& b : w.broken) ADD_FAILURE() << b << " seed " << seed;
+    told += w.cancellation_confirmed("job-1");
+    for (const auto& b : w.violations) ADD_FAILURE() << b << " seed " << seed;
   }
   EXPECT_GT(told, 0u) << "no cancellation was first";
 }
@@ -308,7 +312,8 @@
 // An upgrade under any schedule of troubles.
 void play_upgrade(ControllerVersion from) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
-  const auto schedule = *rc::gen::resize(4, rc::gen::container<std::vector<Fault>>(faults()));
+  const auto schedule =
+      *rc::gen::resize(4, rc::gen::container<std::vector<Fault>>(generated_fault()));
   const auto turns = *rc::gen::container<std::vector<int>>(3, rc::gen::inRange(30, 110));
   ClusterSimulation::Options options;
   options.seed = seed;
@@ -323,15 +328,15 @@
          [&w, n] { w.replace_node(n, ControllerVersion::current, n == 1 ? 0.3 : 5); });
   for (const auto& t : schedule)
     if (from != ControllerVersion::commit_9fefab8 || first_version_withstands(t))
-      w.at(t.at, [&w, t] { play(w, t); });
+      w.at(t.at, [&w, t] { inject(w, t); });
   w.at(115, [&w] { w.lower_state_limits(); });
   w.run_until(330);
-  for (const auto& b : w.broken) RC_LOG() << b << "\n";
-  RC_ASSERT(w.broken.empty());
+  for (const auto& b : w.violations) RC_LOG() << b << "\n";
+  RC_ASSERT(w.violations.empty());
   for (int i = 0; i < work.jobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
     RC_ASSERT(w.accepted(id));
-    RC_ASSERT(w.cancelled_by_user(id) || w.told(id) == "done" || w.running(id) > 0);
+    RC_ASSERT(w.cancelled_by_user(id) || w.last_reported_status(id) == "done" || w.running(id) > 0);
   }
 }
 
--- a/tests/write_path_test.cpp
+++ b/tests/write_path_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string first(const ClusterSimulation& cluster) {
-  return cluster.broken.empty() ? "" : cluster.broken.front();
+  return cluster.violations.empty() ? "" : cluster.violations.front();
 }
 
 /// Four puts a second for three controllers: every burst is more than they may write.
@@ -21,7 +21,7 @@
   options.types = {{"small", {8, 0, 32}, 50, 1, 1, 0.5, 8, {"a", "b"}}};
   options.capacity = {{"small", 10}};
   options.teams = {{"red", {100, 0, 0}, {160, 0, 0}}, {"blue", {100, 0, 0}, {160, 0, 0}}};
-  options.uneven = 0.05;  // a task ends after the other
+  options.runtime_increase_per_task = 0.05;  // a task ends after the other
   return options;
 }
 
@@ -51,8 +51,9 @@
 }
 
 void expect_all_done(const ClusterSimulation& cluster, int jobs) {
-  for (int i = 0; i < jobs; ++i) EXPECT_EQ(cluster.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(cluster.broken.empty()) << first(cluster);
+  for (int i = 0; i < jobs; ++i)
+    EXPECT_EQ(cluster.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(cluster.violations.empty()) << first(cluster);
 }
 
 // Each end and each start that was seen was a put of its own: a job of ten tasks took a dozen.
@@ -64,7 +65,7 @@
   cluster.run_until(150);
   expect_all_done(cluster, kJobs);
   EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks);
-  EXPECT_LE(cluster.work().job_writes, kJobs * 7);
+  EXPECT_LE(cluster.counters().job_writes, kJobs * 7);
 }
 
 // What ended and was not written yet is known to the worker, who keeps it until it is: the next
@@ -93,7 +94,7 @@
     constexpr uint32_t kTasks = 12;
     submit_jobs(cluster, kJobs, kTasks, 30);
     cluster.run_until(46);
-    cluster.unanswered_writes(15, 0.4, at_once);
+    cluster.lose_transaction_answers(15, 0.4, at_once);
     cluster.run_until(220);
     expect_all_done(cluster, kJobs);
     EXPECT_EQ(total_starts(cluster, kJobs), kJobs * kTasks);
@@ -111,11 +112,13 @@
     cluster.run_until(150);
     for (int i = 0; i < kJobs; ++i) {
       const std::string id = "job-" + std::to_string(i);
-      EXPECT_TRUE(cluster.told(id) == "cancelled" || cluster.told(id) == "done") << id;
+      EXPECT_TRUE(cluster.last_reported_status(id) == "cancelled" ||
+                  cluster.last_reported_status(id) == "done")
+          << id;
       EXPECT_EQ(cluster.running(id), 0u) << id;
-      EXPECT_EQ(cluster.placed(id), 0u) << id;
+      EXPECT_EQ(cluster.placed_tasks(id), 0u) << id;
     }
-    EXPECT_TRUE(cluster.broken.empty()) << first(cluster);
+    EXPECT_TRUE(cluster.violations.empty()) << first(cluster);
   }
 }
 
