--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -27,7 +27,7 @@
 }
 
 std::string first_violation(const ClusterSimulation& sim) {
-  return sim.broken.empty() ? "" : sim.broken.front();
+  return sim.violations.empty() ? "" : sim.violations.front();
 }
 
 TEST(Core, AnArrayRunsAServiceStaysAndACancellationEndsIt) {
@@ -35,13 +35,13 @@
   sim.submit(spec("job-1", store::JobKind::array, 6, 2, 8), 3);
   sim.submit(spec("job-2", store::JobKind::service, 4, 2, 0), 3);
   sim.run_until(60);
-  EXPECT_EQ(sim.told("job-1"), "done");
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
   EXPECT_EQ(sim.running("job-2"), 4u);
   sim.cancel("job-2", 61);
   sim.run_until(80);
-  EXPECT_EQ(sim.told("job-2"), "cancelled");
+  EXPECT_EQ(sim.last_reported_status("job-2"), "cancelled");
   EXPECT_EQ(sim.running("job-2"), 0u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // The shard leader had noted the end of a job's last task, but not written it, when the
@@ -59,7 +59,7 @@
     sim.run_until(20 + static_cast<double>(seed) * 0.5);
     sim.state_outage(12);
     sim.run_until(80);
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
   }
 }
 
@@ -67,12 +67,12 @@
 // dropped: the placement stayed only in the shard leader's memory, and its task never started.
 TEST(Core, WritesRefusedForTheRateAreNotLost) {
   ClusterSimulation sim({});
-  sim.limit_state(60);
+  sim.throttle_state(60);
   for (int i = 0; i < 20; ++i)
     sim.submit(spec("job-" + std::to_string(i), store::JobKind::service, 2, 1, 0), 2 + i);
   sim.run_until(80);
   for (int i = 0; i < 20; ++i) EXPECT_EQ(sim.running("job-" + std::to_string(i)), 2u) << i;
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // One unanswered request among many made a controller count as disconnected, and it refused every
@@ -97,8 +97,9 @@
     }
     sim.run_until(160);
     for (int i = 1; i <= kJobs; ++i)
-      EXPECT_EQ(sim.told("job-" + std::to_string(i)), "done") << i << ", seed " << seed;
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim) << ", seed " << seed;
+      EXPECT_EQ(sim.last_reported_status("job-" + std::to_string(i)), "done")
+          << i << ", seed " << seed;
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim) << ", seed " << seed;
   }
   EXPECT_GE(in_time, 65 * kSeeds);  // three in four requests to the state store are fast
 }
@@ -107,7 +108,7 @@
   ClusterSimulation sim({});
   sim.submit(spec("job-1", store::JobKind::array, 8, 4, 10), 3);
   sim.run_until(50);
-  EXPECT_EQ(sim.told("job-1"), "done");
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
   EXPECT_GT(sim.machines_up(), 0u);
   sim.run_until(200);
   EXPECT_EQ(sim.machines_up(), 0u);
@@ -121,10 +122,10 @@
   EXPECT_EQ(sim.running("job-2"), 2u);
   for (int n = 0; n < 3; ++n) sim.kill_node(n, 5);
   sim.run_until(110);
-  EXPECT_EQ(sim.told("job-1"), "done");
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
   EXPECT_EQ(sim.running("job-2"), 2u);
   EXPECT_EQ(sim.starts_of("job-2"), 2u) << "services ran on while the controllers were away";
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, ARunningFleetSurvivesAnOutageOfTheStateService) {
@@ -137,8 +138,8 @@
   EXPECT_EQ(sim.starts_of("job-2"), 4u);
   sim.submit(spec("job-3", store::JobKind::array, 2, 2, 5), 131);
   sim.run_until(170);
-  EXPECT_EQ(sim.told("job-3"), "done");
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_EQ(sim.last_reported_status("job-3"), "done");
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // All controllers restart during an outage of the state store and can't read the keys. The tasks
@@ -153,7 +154,7 @@
   sim.run_until(120);
   EXPECT_EQ(sim.running("job-2"), 4u);
   EXPECT_EQ(sim.starts_of("job-2"), 4u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // All controllers crash in an outage, and one of them has acknowledged a cancellation that no other
@@ -173,13 +174,13 @@
     sim.cut("node-2", "node-1", 1, false);
     sim.cancel("job-3", 40.5, 2);
     sim.run_until(41);
-    ASSERT_TRUE(sim.cancel_told("job-3"));
+    ASSERT_TRUE(sim.cancellation_confirmed("job-3"));
     sim.state_outage(60);
     for (int n = 0; n < 3; ++n) sim.kill_node(n, 0.3);
     sim.run_until(135);
     EXPECT_EQ(sim.running("job-3"), 0u);
     EXPECT_EQ(sim.running("job-2"), 4u);
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim) << " seed " << seed;
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim) << " seed " << seed;
   }
 }
 
@@ -202,7 +203,7 @@
     sim.run_until(120);
     EXPECT_EQ(sim.running("job-2"), 4u) << run;
     EXPECT_EQ(sim.starts_of("job-2"), 4u) << run;
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
   }
 }
 
@@ -229,7 +230,7 @@
     sim.run_until(140);
     for (int i = 0; i < 8; ++i)
       EXPECT_EQ(sim.running("job-" + std::to_string(i)), 4u) << i << ", seed " << seed;
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim) << ", seed " << seed;
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim) << ", seed " << seed;
   }
   // Three may be deleted at a time, and occasionally one more is lost anyway; five are cut off.
   EXPECT_LE(lost * 10, 32 * kSeeds);
@@ -244,7 +245,7 @@
     sim.run_until(sim.now() + 60);
     EXPECT_EQ(sim.running("job-2"), 4u) << "with node " << n << " refused";
   }
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, ADeadMachinesTasksRunElsewhere) {
@@ -254,7 +255,7 @@
   sim.kill_machine(0);
   sim.run_until(90);
   EXPECT_EQ(sim.running("job-2"), 4u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // A machine that receives nothing, though its heartbeats arrive, must not keep its tasks forever.
@@ -265,7 +266,7 @@
   sim.cut_machine(0, 100, true, true);
   sim.run_until(100);
   EXPECT_EQ(sim.running("job-2"), 4u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // In a partition between two zones, workers that were redirected to a shard leader out of their
@@ -288,7 +289,7 @@
     sim.run_until(120);
     EXPECT_EQ(sim.running("job-2"), 8u);
     EXPECT_EQ(sim.starts_of("job-2"), 8u);
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
   }
 }
 
@@ -325,7 +326,7 @@
     EXPECT_EQ(sim.running("job-2"), kTasks) << n;
     started_again += sim.starts_of("job-2") - starts;
     EXPECT_EQ(sim.running("job-3") + sim.running("job-4"), 0u) << n;
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim) << ", run " << n;
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim) << ", run " << n;
   }
   EXPECT_LE(started_again, kRuns * kTasks / 10);
   EXPECT_GE(untouched, kRuns * 2 / 3);
@@ -342,7 +343,7 @@
   for (int i = 0; i < 3; ++i) sim.cancel("job-" + std::to_string(i), 40.1 + i);
   sim.run_until(200);
   EXPECT_EQ(sim.running("job-3"), 4u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // The shard leader is paused for longer than every lease. Other controllers acquire its shard, and
@@ -360,7 +361,7 @@
     EXPECT_EQ(sim.running("job-2"), 6u) << for_s;
     EXPECT_EQ(sim.running("job-3"), 0u) << for_s;
     EXPECT_EQ(sim.running("job-4"), 2u) << for_s;
-    EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+    EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
   }
 }
 
@@ -374,34 +375,35 @@
   sim.cancel("job-2", 41);
   sim.run_until(140);
   EXPECT_EQ(sim.running("job-2"), 0u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, ASickMachineIsLeftAlone) {
   ClusterSimulation sim({});
   sim.submit(spec("job-1", store::JobKind::service, 2, 2, 0), 3);
   sim.run_until(40);
-  sim.sick_machine(0, 300);
-  sim.sick_machine(1, 300);
+  sim.fail_tasks_on_machine(0, 300);
+  sim.fail_tasks_on_machine(1, 300);
   for (int i = 3; i < 9; ++i)
     sim.submit(spec("job-" + std::to_string(i), store::JobKind::array, 2, 2, 5), 41);
   sim.run_until(140);
-  for (int i = 3; i < 9; ++i) EXPECT_EQ(sim.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  for (int i = 3; i < 9; ++i)
+    EXPECT_EQ(sim.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, LateCopiesOfReportsChangeNothing) {
   ClusterSimulation sim({});
-  sim.delay_report_copies(200, 20);  // more than a worker lease (14 s)
+  sim.duplicate_heartbeats(200, 20);  // more than a worker lease (14 s)
   sim.submit(spec("job-1", store::JobKind::array, 12, 2, 6), 3);
   sim.submit(spec("job-2", store::JobKind::service, 4, 2, 0), 3);
   sim.run_until(50);
   sim.kill_node(0, 5);
   sim.run_until(150);
-  EXPECT_EQ(sim.told("job-1"), "done");
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
   EXPECT_EQ(sim.running("job-2"), 4u);
   EXPECT_EQ(sim.starts_of("job-2"), 4u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, AnArrayOfManyTasksFitsItsRecord) {
@@ -410,8 +412,8 @@
   s.per_task = {0.05, 0, 0.01};
   sim.submit(s, 3);
   sim.run_until(400);
-  EXPECT_EQ(sim.told("job-1"), "done");
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // Each new placement has a precondition on its machine, and a transaction takes 32 preconditions:
@@ -433,7 +435,7 @@
   sim.submit(large, 39);
   sim.run_until(50);
   EXPECT_EQ(sim.running("job-1"), 40u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 TEST(Core, ATeamNeverExceedsItsLimit) {
@@ -441,8 +443,9 @@
   for (int i = 1; i <= 30; ++i)
     sim.submit(spec("job-" + std::to_string(i), store::JobKind::array, 10, 4, 6), 3 + i * 0.1);
   sim.run_until(400);
-  for (int i = 1; i <= 30; ++i) EXPECT_EQ(sim.told("job-" + std::to_string(i)), "done") << i;
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  for (int i = 1; i <= 30; ++i)
+    EXPECT_EQ(sim.last_reported_status("job-" + std::to_string(i)), "done") << i;
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // A worker's report of a gang state for an array task, or of attempts that were never assigned,
@@ -452,14 +455,14 @@
   sim.submit(spec("job-1", store::JobKind::array, 3, 2, 20), 3);
   sim.run_until(18);
   ASSERT_EQ(sim.running("job-1"), 3u);
-  const auto before = *sim.stored("job/job-1");
-  for (int n = 0; n < 3; ++n) sim.report_nonsense("job-1", n);
+  const auto before = *sim.stored_value("job/job-1");
+  for (int n = 0; n < 3; ++n) sim.report_invalid_tasks("job-1", n);
   sim.run_until(20);
-  EXPECT_EQ(*sim.stored("job/job-1"), before);
+  EXPECT_EQ(*sim.stored_value("job/job-1"), before);
   sim.run_until(60);
-  EXPECT_EQ(sim.told("job-1"), "done");
+  EXPECT_EQ(sim.last_reported_status("job-1"), "done");
   EXPECT_EQ(sim.starts_of("job-1"), 3u);
-  EXPECT_TRUE(sim.broken.empty()) << first_violation(sim);
+  EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
 // A gang or a service is refused if all its tasks together exceed the team's quota, an array only
@@ -495,7 +498,7 @@
   sim.run_until(9);
   for (int i = 1; i <= number; ++i) {
     EXPECT_EQ(sim.accepted("job-" + std::to_string(i)), cases[i - 1].fits) << i;
-    EXPECT_EQ(sim.refused_for_good("job-" + std::to_string(i)), !cases[i - 1].fits) << i;
+    EXPECT_EQ(sim.permanently_rejected("job-" + std::to_string(i)), !cases[i - 1].fits) << i;
   }
 }
 
