--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -33,7 +33,7 @@
   void execute(HandleHeartbeat&& command);
   void execute(HandleForwardedHeartbeat&& command);
   void execute(HandlePeerState&& command);
-  void execute(CallDone&& command) { context_.returned(std::move(command)); }
+  void execute(CallDone&& command) { context_.on_call_done(std::move(command)); }
   void execute(Tick&& /*command*/) {}
 
   void measure_lag();
@@ -91,11 +91,11 @@
 
 void Core::Modules::execute(CheckHealth&& command) {
   const int status = job_service_.healthy() ? 200 : 503;
-  context_.out.push_back(AnswerUser{command.request, status, std::nullopt, 1});
+  context_.effects.push_back(AnswerUser{command.request, status, std::nullopt, 1});
 }
 
 void Core::Modules::execute(ShowStats&& command) {
-  context_.out.push_back(AnswerStats{command.request, stats()});
+  context_.effects.push_back(AnswerStats{command.request, stats()});
 }
 
 void Core::Modules::execute(HandleHeartbeat&& command) {
@@ -109,9 +109,9 @@
 void Core::Modules::execute(HandlePeerState&& command) {
   membership_.on_peer_query(command.state);
   PeerState own = own_state();
-  if (command.state.acknowledged)
+  if (command.state.known_cancellations)
     own.offered_cancellations = membership_.offer_cancellations(command.state);
-  context_.out.push_back(AnswerPeer{command.request, std::move(own)});
+  context_.effects.push_back(AnswerPeer{command.request, std::move(own)});
 }
 
 std::vector<Effect> Core::Modules::handle(std::deque<Command>& commands, const Clock& clock) {
@@ -131,7 +131,7 @@
   cluster_leader_.tick();
   shard_controller_.work();
   state_store_.tick();  // last, so that writes of the other modules are sent in the same batch
-  return std::exchange(context_.out, {});
+  return std::exchange(context_.effects, {});
 }
 
 // ---- the clock ----
@@ -167,23 +167,24 @@
   state.has_state_store = state_store_.lease_valid() && !state_store_.disconnected();
   state.synced = state_store_.synced();
   state.backlog = state_store_.backlog();
-  state.budget_need = state_store_.need();
-  for (int shard = 0; shard < membership_.shards(); ++shard)
-    if (membership_.shard_token(shard) != 0) state.shards.push_back(shard);
-  state.machines_heard = shard_controller_.heartbeats().machines_heard_of_other_shards();
-  state.nodes = membership_.controllers_heard();
+  state.budget_need = state_store_.needed_budget_share();
+  for (int shard = 0; shard < membership_.shard_count(); ++shard)
+    if (membership_.shard_fencing_token(shard) != 0) state.shards.push_back(shard);
+  state.machines_heard = shard_controller_.heartbeats().recent_machines_of_other_shards();
+  state.nodes = membership_.live_peers();
   state.at = context_.wall;
   state.revision = state_cache_.revision();
   state.version = program_version();
   state.record_format = store::kRecordFormat;
-  if (state_store_.ever_synced()) state.current_age_s = context_.now - state_store_.current_at();
+  if (state_store_.ever_synced())
+    state.current_age_s = context_.now - state_store_.cache_current_as_of();
   return state;
 }
 
 store::Json Core::Modules::stats() {
   return {{"node", context_.settings.node},
           {"revision", state_cache_.revision()},
-          {"leading", membership_.leading()},
+          {"leading", membership_.is_cluster_leader()},
           {"state_lease", state_store_.lease_valid()},
           {"write_backlog", state_store_.backlog()},
           {"writes", state_store_.stats()},
--- a/src/coordination/fleet/capacity_plan.cpp
+++ b/src/coordination/fleet/capacity_plan.cpp
@@ -21,7 +21,7 @@
                   const std::set<std::string>* running, double wall) {
   const auto* type = state_cache.type(machine.type);
   const bool came_up = !machine.address.empty() || (running && running->count(machine.id) != 0);
-  return type && !came_up && wall - machine.since > type->boot_s * Tunables::kBootUsual;
+  return type && !came_up && wall - machine.since > type->boot_s * Tunables::kBootOverdueFactor;
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/fleet/capacity_plan.h
+++ b/src/coordination/fleet/capacity_plan.h
@@ -34,7 +34,7 @@
 
   int machines() const { return urgent + expected; }
   /// Takes one machine off the shortage, from `urgent` first.
-  void reduce() { --(urgent > 0 ? urgent : expected); }
+  void remove_one() { --(urgent > 0 ? urgent : expected); }
 };
 
 /// A job whose next task is within its team's guarantee, but fits on no machine and cannot get a
@@ -55,8 +55,8 @@
 };
 
 /// What the cluster leader knows about the cloud beyond the contents of the state cache.
-struct CloudOutlook {
-  std::vector<store::MachineType> prices;        // types with their current prices
+struct CloudView {
+  std::vector<store::MachineType> priced_types;  // types with their current prices
   std::set<MachineKind> unavailable;             // cannot be provisioned at present
   std::vector<store::MachineRecord> unrecorded;  // provided, but their records are not durable yet
   std::map<int, std::vector<MachineKind>> requested;  // by shard: the cloud has not answered yet
--- a/src/coordination/fleet/capacity_planner.h
+++ b/src/coordination/fleet/capacity_planner.h
@@ -16,8 +16,8 @@
   /// The arguments must outlive this object.
   CapacityPlanner(Context& context, const store::StateCache& state_cache,
                   const Membership& membership, const ArrivalForecast& arrival_forecast,
-                  const CloudOutlook& outlook)
-      : inputs_{context, state_cache, membership, arrival_forecast, outlook} {}
+                  const CloudView& cloud_view)
+      : inputs_{context, state_cache, membership, arrival_forecast, cloud_view} {}
 
   /// Plans the shard and appends the result to `plan`.
   void plan_shard(int shard, CapacityPlan& plan);
--- a/src/coordination/fleet/cluster_leader.cpp
+++ b/src/coordination/fleet/cluster_leader.cpp
@@ -53,13 +53,13 @@
 }
 
 void ClusterLeader::tick() {
-  const bool now_leading = membership_.leading() && state_store_.synced();
+  const bool now_leading = membership_.is_cluster_leader() && state_store_.synced();
   if (now_leading != leading_) {
     leading_ = now_leading;
     if (leading_) on_leadership_gained();
   }
   if (!leading_ || state_store_.disconnected()) return;
-  cloud_budget_.set_rate(context_.settings.cloud_rps * Tunables::kBudget);
+  cloud_budget_.set_rate(context_.settings.cloud_rps * Tunables::kRateLimitShare);
   record_format_marker_.tick();
   type_catalogue_.tick();
   if (state_cache_.types().empty()) return;
@@ -82,22 +82,22 @@
   return due;
 }
 
-CloudOutlook ClusterLeader::outlook() const {
-  CloudOutlook outlook;
-  outlook.prices = type_catalogue_.prices();
-  for (const auto& [id, machine] : unrecorded_.records()) outlook.unrecorded.push_back(machine);
-  outlook.running = &inventory_.running();
-  provisioner_.add_to(outlook);
-  return outlook;
+CloudView ClusterLeader::cloud_view() const {
+  CloudView cloud_view;
+  cloud_view.priced_types = type_catalogue_.prices();
+  for (const auto& [id, machine] : unrecorded_.records()) cloud_view.unrecorded.push_back(machine);
+  cloud_view.running = &inventory_.running();
+  provisioner_.add_to(cloud_view);
+  return cloud_view;
 }
 
 void ClusterLeader::plan() {
-  const CloudOutlook known = outlook();
+  const CloudView known = cloud_view();
   CapacityPlanner planner(context_, state_cache_, membership_, arrival_forecast_, known);
   const bool reassign_now = context_.now >= next_reassignment_;
   if (reassign_now && context_.logs(LogLine::Level::info)) planner.enable_logging();
   CapacityPlan plan;
-  for (int shard = 0; shard < membership_.shards(); ++shard) planner.plan_shard(shard, plan);
+  for (int shard = 0; shard < membership_.shard_count(); ++shard) planner.plan_shard(shard, plan);
   const CapacityPlan planned = plan;
   plan.shortages.insert(plan.shortages.end(), plan.best_effort_shortages.begin(),
                         plan.best_effort_shortages.end());
@@ -107,9 +107,9 @@
   }
   reclaim_.reclaim(plan.unmet);
   provisioner_.provision(plan.shortages, plan.unused);
-  // The outlook is taken anew, since it now includes the machines that were just requested.
+  // The cloud view is taken anew, since it now includes the machines that were just requested.
   if (context_.operators.consolidate && consolidation_.due() && led_for_one_lease())
-    consolidation_.run(planned, [this] { return outlook(); });
+    consolidation_.run(planned, [this] { return cloud_view(); });
   reassignment_.scale_in_idle(plan, leader_since_);
 }
 
--- a/src/coordination/fleet/cluster_leader.h
+++ b/src/coordination/fleet/cluster_leader.h
@@ -36,7 +36,7 @@
   void on_leadership_gained();
   void on_machine_deleted(const std::string& machine);
   void plan();
-  CloudOutlook outlook() const;
+  CloudView cloud_view() const;
   bool led_for_one_lease() const {
     return context_.now - leader_since_ > context_.settings.lease_s;
   }
--- a/src/coordination/fleet/consolidation_rounds.h
+++ b/src/coordination/fleet/consolidation_rounds.h
@@ -28,9 +28,9 @@
   bool due() const { return context_.now >= next_round_; }
   /// Handles the next shard. Each shard has one round per sharing period, because a single pass
   /// over all shards would take too long. `planned` is the plan of all shards before any machine
-  /// was reassigned. `outlook` returns the current knowledge of the cloud; it is called only if the
-  /// shard has no unmet demand.
-  void run(const CapacityPlan& planned, const std::function<CloudOutlook()>& outlook);
+  /// was reassigned. `cloud_view` returns the current knowledge of the cloud; it is called only if
+  /// the shard has no unmet demand.
+  void run(const CapacityPlan& planned, const std::function<CloudView()>& cloud_view);
 
  private:
   Context& context_;
--- a/src/coordination/fleet/consolidator.cpp
+++ b/src/coordination/fleet/consolidator.cpp
@@ -78,7 +78,7 @@
       // This task is left out, so that no on-demand machine is kept for it. It is stopped without
       // losing work and queued again when its machine is drained.
       const auto* machine = state_cache_.machine(placement.machine);
-      if (machine && !machine->record.spot && takes_idle_room_only(job, context_) &&
+      if (machine && !machine->record.spot && uses_best_effort_capacity_only(job, context_) &&
           can_move(job.spec))
         continue;
       load.used.add(job.spec.per_task);
@@ -101,7 +101,7 @@
     const MachineRecord& record = machine->record;
     const auto* type = state_cache_.type(record.type);
     if (!type || id == from || drained.count(id) || record.shard != shard || !record.usable() ||
-        !kind_allowed(spec, record.spot) || !type_allowed(spec, record.type))
+        !spot_allowed(spec, record.spot) || !type_allowed(spec, record.type))
       continue;
     if (!images_.has(id, spec.image) &&
         spec.image_gb / std::max(kMinFetchRateGbPerS, type->fetch_gb_per_s) > long_fetch_s)
--- a/src/coordination/fleet/fair_share_reclaim.cpp
+++ b/src/coordination/fleet/fair_share_reclaim.cpp
@@ -22,7 +22,7 @@
     for (const auto& placement : job.placed) {
       auto& load = reclaimable.loads[placement.machine];
       ++load.tasks;
-      load.pinned |= !is_preemptible(job.spec, context_);
+      load.has_non_preemptible |= !is_preemptible(job.spec, context_);
     }
     // Waiting tasks count as well: machines still booting for work beyond the guarantee are the
     // cheapest to give up.
@@ -60,7 +60,7 @@
     return false;
   if (reclaimable.capacity[machine.shard] - type->size.cpus < reclaimable.guaranteed[machine.shard])
     return false;
-  return type_allowed(demand.spec, machine.type) && kind_allowed(demand.spec, machine.spot) &&
+  return type_allowed(demand.spec, machine.type) && spot_allowed(demand.spec, machine.spot) &&
          zone_allowed(demand.spec, machine.zone, demand.zones) &&
          capacity_for(demand.spec, *type) > 0;
 }
@@ -72,7 +72,7 @@
   for (const auto& [id, machine] : state_cache_.present_machines()) {
     if (!may_be_reclaimed(machine->record, demand, reclaimable)) continue;
     const auto load = reclaimable.loads.find(id);
-    if (load != reclaimable.loads.end() && load->second.pinned) continue;
+    if (load != reclaimable.loads.end() && load->second.has_non_preemptible) continue;
     const int tasks = load == reclaimable.loads.end() ? 0 : load->second.tasks;
     if (!best || tasks < fewest_tasks) {
       best = &machine->record;
@@ -107,7 +107,7 @@
     context_.info("machine_reassignment_requested machine=" + machine->id + " next_shard=" +
                   std::to_string(demand.shard) + " reason=guarantee team=" + demand.spec.team +
                   " tasks=" + std::to_string(reclaimable.loads[machine->id].tasks));
-    reassignment_.request_reassignment(machine->id, demand.shard, WorkOnMachine::is_drained);
+    reassignment_.request_reassignment(machine->id, demand.shard, DrainMode::drain);
   }
 }
 
--- a/src/coordination/fleet/fair_share_reclaim.h
+++ b/src/coordination/fleet/fair_share_reclaim.h
@@ -34,7 +34,7 @@
   struct ReclaimableCapacity {
     struct Load {
       int tasks = 0;
-      bool pinned = false;  // holds work that must not be preempted
+      bool has_non_preemptible = false;  // holds work that must not be preempted
     };
     std::map<std::string, Load> loads;  // by machine
     std::map<int, double> capacity;     // CPUs by shard
--- a/src/coordination/fleet/fleet_record_writer.cpp
+++ b/src/coordination/fleet/fleet_record_writer.cpp
@@ -9,14 +9,14 @@
   WriteRequest write;
   write.key = store::machine_key(machine);
   write.cause = cause;
-  write.prepare = [this, machine, change = std::move(change)](Prepared& prepared) {
+  write.prepare = [this, machine, change = std::move(change)](PreparedWrite& prepared) {
     const auto* known = state_cache_.machine(machine);
-    if (!known || !membership_.leading()) return false;
+    if (!known || !membership_.is_cluster_leader()) return false;
     store::MachineRecord record = known->record;
     if (!change(record)) return false;
-    prepared.expected = known->mod_revision;
+    prepared.expected_mod_revision = known->mod_revision;
     prepared.value = to_json(record);
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
     return true;
   };
   write.done = std::move(done);
--- a/src/coordination/fleet/machine_reassignment.cpp
+++ b/src/coordination/fleet/machine_reassignment.cpp
@@ -21,19 +21,19 @@
 }  // namespace
 
 void MachineReassignment::request_reassignment(const std::string& machine, int next_shard,
-                                               WorkOnMachine work) {
+                                               DrainMode mode) {
   records_.update(machine, WriteCause::machine_reassignment_request,
-                  [next_shard, work](MachineRecord& record) {
+                  [next_shard, mode](MachineRecord& record) {
                     if (!record.usable()) return false;
                     record.phase = MachinePhase::reassignment_requested;
                     record.next_shard = next_shard;
-                    record.drain = work == WorkOnMachine::is_drained;
+                    record.drain = mode == DrainMode::drain;
                     return true;
                   });
 }
 
-void MachineReassignment::request_release(const std::string& machine, WorkOnMachine work) {
-  request_reassignment(machine, kNextShardForRelease, work);
+void MachineReassignment::request_release(const std::string& machine, DrainMode mode) {
+  request_reassignment(machine, kNextShardForRelease, mode);
 }
 
 // The design's sharing of free machines: they go from shards that don't need them to shards whose
@@ -52,8 +52,8 @@
       if (!machine) continue;
       context_.info("machine_reassignment_requested machine=" + *machine +
                     " next_shard=" + std::to_string(shortage.shard) + " reason=unused");
-      request_reassignment(*machine, shortage.shard, WorkOnMachine::keeps_machine);
-      shortage.reduce();
+      request_reassignment(*machine, shortage.shard, DrainMode::only_if_empty);
+      shortage.remove_one();
       moved = true;
     }
   }
@@ -78,7 +78,7 @@
     if (!kinds_in_shortage.count(kind_of(machine)) && idle_long_enough(machine, idle_since[id]) &&
         context_.now - leader_since > context_.settings.lease_s) {
       context_.info("machine_release_requested machine=" + id + " reason=idle");
-      request_release(id, WorkOnMachine::keeps_machine);
+      request_release(id, DrainMode::only_if_empty);
     }
   }
   idle_since_ = std::move(idle_since);
--- a/src/coordination/fleet/machine_reassignment.h
+++ b/src/coordination/fleet/machine_reassignment.h
@@ -11,12 +11,12 @@
 namespace rushtrestle::coordination {
 
 /// Whether tasks are stopped on a machine whose reassignment or release is requested.
-enum class WorkOnMachine {
+enum class DrainMode {
   /// No task is stopped: the request is granted only if the machine is empty.
-  keeps_machine,
+  only_if_empty,
   /// Tasks are stopped and requeued. A reassignment is refused while the machine runs a task that
   /// may not be preempted; for a release, only tasks that lose no work by it are stopped.
-  is_drained
+  drain
 };
 
 class MachineReassignment {
@@ -29,9 +29,9 @@
   /// Forgets how long machines have been idle. Called at the start of a leadership.
   void reset() { idle_since_.clear(); }
   /// Asks the leader of the machine's shard to hand the machine over to `next_shard`.
-  void request_reassignment(const std::string& machine, int next_shard, WorkOnMachine work);
+  void request_reassignment(const std::string& machine, int next_shard, DrainMode mode);
   /// Asks the leader of the machine's shard to release the machine, so that it can be deleted.
-  void request_release(const std::string& machine, WorkOnMachine work);
+  void request_release(const std::string& machine, DrainMode mode);
   /// Requests the reassignment of unused machines to shards that lack machines of their kind, and
   /// removes these machines and shortages from the plan.
   void reassign_unused(CapacityPlan& plan);
--- a/src/coordination/fleet/provisioner.cpp
+++ b/src/coordination/fleet/provisioner.cpp
@@ -47,11 +47,11 @@
                      [&](const Request& request) { return request.kind == kind; });
 }
 
-void Provisioner::add_to(CloudOutlook& outlook) const {
+void Provisioner::add_to(CloudView& cloud_view) const {
   for (const auto& [kind, unavailability] : unavailable_kinds_)
-    if (context_.now < unavailability.until) outlook.unavailable.insert(kind);
+    if (context_.now < unavailability.until) cloud_view.unavailable.insert(kind);
   for (const auto& request : requests_)
-    for (const int shard : request.shards) outlook.requested[shard].push_back(request.kind);
+    for (const int shard : request.shards) cloud_view.requested[shard].push_back(request.kind);
 }
 
 // Serves the shortages in turn, one machine each.
@@ -68,7 +68,7 @@
       } else {
         order.expected.push_back(shortage->shard);
       }
-      shortage->reduce();
+      shortage->remove_one();
       more |= shortage->machines() > 0;
     }
   }
@@ -82,7 +82,7 @@
   for (auto& shortage : shortages) {
     // An unused machine of another shard covers one missing machine: it is reassigned instead.
     while (shortage.machines() > 0 && reassignable.take(shortage.kind, shortage.shard))
-      shortage.reduce();
+      shortage.remove_one();
     if (shortage.machines() > 0) by_kind[shortage.kind].push_back(&shortage);
   }
   std::vector<Order> orders;
@@ -119,10 +119,10 @@
       const auto first = shards.begin() + static_cast<long>(from);
       const auto last = shards.begin() +
                         static_cast<long>(std::min(shards.size(), from + kMaxMachinesPerRequest));
-      requests_.push_back(
-          {order.kind, std::vector<int>(first, last),
-           std::to_string(membership_.leader_revision()) + "-" + std::to_string(++requests_made_),
-           0, false});
+      requests_.push_back({order.kind, std::vector<int>(first, last),
+                           std::to_string(membership_.leader_fencing_token()) + "-" +
+                               std::to_string(++requests_made_),
+                           0, false});
       send(requests_.back());
     }
 }
--- a/src/coordination/fleet/provisioner.h
+++ b/src/coordination/fleet/provisioner.h
@@ -37,8 +37,8 @@
   void provision(std::vector<MachineShortage> shortages, std::vector<std::string> unused);
   /// Returns whether a request is in flight, whose reply may name new machines.
   bool request_in_flight() const;
-  /// Adds the requested machines and the unavailable kinds to `outlook`.
-  void add_to(CloudOutlook& outlook) const;
+  /// Adds the requested machines and the unavailable kinds to `cloud_view`.
+  void add_to(CloudView& cloud_view) const;
   /// Marks the kind as available again: the cloud can provide the deleted machine anew.
   void on_machine_deleted(const MachineKind& kind) { unavailable_kinds_.erase(kind); }
 
--- a/src/coordination/fleet/record_format_marker.cpp
+++ b/src/coordination/fleet/record_format_marker.cpp
@@ -7,7 +7,7 @@
 
 bool RecordFormatMarker::ready_to_enable() const {
   return state_cache_.record_format() < store::kRecordFormat &&
-         membership_.all_read(store::kRecordFormat);
+         membership_.all_peers_read_format(store::kRecordFormat);
 }
 
 void RecordFormatMarker::tick() {
@@ -15,11 +15,11 @@
   write_in_flight_ = true;
   WriteRequest write;
   write.key = store::format_key;
-  write.prepare = [this](Prepared& prepared) {
-    prepared.expected = state_cache_.mod_revision_of(store::format_key);
+  write.prepare = [this](PreparedWrite& prepared) {
+    prepared.expected_mod_revision = state_cache_.mod_revision_of(store::format_key);
     prepared.value = store::Json{{"reads", store::kRecordFormat}};
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
-    return membership_.leading() && ready_to_enable();
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
+    return membership_.is_cluster_leader() && ready_to_enable();
   };
   write.done = [this](WriteOutcome outcome, uint64_t) {
     write_in_flight_ = false;
--- a/src/coordination/fleet/shard_capacity.cpp
+++ b/src/coordination/fleet/shard_capacity.cpp
@@ -10,19 +10,19 @@
                              const ExcludedMachines& excluded)
     : inputs_(inputs) {
   slots_.reset(load.cpu_per_gpu);
-  const auto& outlook = inputs.outlook;
+  const auto& cloud_view = inputs.cloud_view;
   for (const auto& [id, machine] : inputs.state_cache.present_machines())
     if (machine->record.shard == shard && machine->record.usable() && !excluded.count(id) &&
-        !boot_overdue(machine->record, inputs.state_cache, outlook.running, inputs.context.wall))
+        !boot_overdue(machine->record, inputs.state_cache, cloud_view.running, inputs.context.wall))
       add_machine(machine->record, load);
-  for (const auto& machine : outlook.unrecorded)
+  for (const auto& machine : cloud_view.unrecorded)
     if (machine.shard == shard && !inputs.state_cache.machine(machine.id))
       add_machine(machine, load);
   add_requested(shard);
   existing_slots_ = slots_.size();
   was_empty_.reserve(existing_slots_);
-  for (Place place = 0; place < existing_slots_; ++place) {
-    const Slot& slot = slots_.at(place);
+  for (SlotNumber slot_number = 0; slot_number < existing_slots_; ++slot_number) {
+    const Slot& slot = slots_.at(slot_number);
     ++slots_by_type_and_zone_[{slot.type->name, *slot.zone}];
     was_empty_.push_back(slot.empty);
   }
@@ -35,14 +35,14 @@
   if (const auto used = load.used.find(machine.id); used != load.used.end()) {
     slot.free.add(used->second, -1);
     slot.empty = false;
-    slot.pinned = load.pinned.count(machine.id) != 0;
+    slot.has_non_preemptible = load.machines_with_non_preemptible.count(machine.id) != 0;
   }
   slots_.add(slot);
 }
 
 void ShardCapacity::add_requested(int shard) {
-  const auto requested = inputs_.outlook.requested.find(shard);
-  if (requested == inputs_.outlook.requested.end()) return;
+  const auto requested = inputs_.cloud_view.requested.find(shard);
+  if (requested == inputs_.cloud_view.requested.end()) return;
   for (const auto& kind : requested->second)
     if (const auto* type = inputs_.state_cache.type(kind.type))
       slots_.add({"", type, shared_zone(*type, kind.zone), kind.spot, type->size, true});
@@ -53,20 +53,20 @@
   return slots == slots_by_type_and_zone_.end() ? 0 : slots->second;
 }
 
-std::optional<ShardCapacity::Place> ShardCapacity::add(const MachineKind& kind) {
+std::optional<ShardCapacity::SlotNumber> ShardCapacity::add(const MachineKind& kind) {
   const auto* type = inputs_.state_cache.type(kind.type);
   if (!type) return std::nullopt;
   const auto zone = std::find(type->zones.begin(), type->zones.end(), kind.zone);
   if (zone == type->zones.end()) return std::nullopt;
-  const Place place = slots_.add({"", type, &*zone, kind.spot, type->size, true});
+  const SlotNumber slot_number = slots_.add({"", type, &*zone, kind.spot, type->size, true});
   ++slots_by_type_and_zone_[{type->name, kind.zone}];
-  return place;
+  return slot_number;
 }
 
-bool ShardCapacity::any_slot_fits(const store::JobSpec& spec, Place from) const {
-  for (Place place = from; place < slots_.size(); ++place) {
-    const Slot& slot = slots_.at(place);
-    if (spec.per_task.fits(slot.free) && kind_allowed(spec, slot.spot) &&
+bool ShardCapacity::any_slot_fits(const store::JobSpec& spec, SlotNumber from) const {
+  for (SlotNumber slot_number = from; slot_number < slots_.size(); ++slot_number) {
+    const Slot& slot = slots_.at(slot_number);
+    if (spec.per_task.fits(slot.free) && spot_allowed(spec, slot.spot) &&
         type_allowed(spec, slot.type->name))
       return true;
   }
@@ -80,9 +80,9 @@
 
 std::vector<std::string> ShardCapacity::unused_machines() const {
   std::vector<std::string> unused;
-  for (Place place = 0; place < existing_slots_; ++place) {
-    const Slot& slot = slots_.at(place);
-    if (was_empty_[place] && slot.empty && !slot.machine.empty() &&
+  for (SlotNumber slot_number = 0; slot_number < existing_slots_; ++slot_number) {
+    const Slot& slot = slots_.at(slot_number);
+    if (was_empty_[slot_number] && slot.empty && !slot.machine.empty() &&
         inputs_.state_cache.machine(slot.machine))
       unused.push_back(slot.machine);
   }
--- a/src/coordination/fleet/shard_capacity.h
+++ b/src/coordination/fleet/shard_capacity.h
@@ -15,7 +15,7 @@
 
 class ShardCapacity {
  public:
-  using Place = SlotIndex::Place;
+  using SlotNumber = SlotIndex::SlotNumber;
   using TypeAndZone = std::pair<std::string, std::string>;
   /// The state to which `restore` returns.
   struct Checkpoint {
@@ -31,19 +31,21 @@
   /// Number of slots of machines that exist or are requested. These slots come first.
   size_t existing_slots() const { return existing_slots_; }
   size_t size() const { return slots_.size(); }
-  const Slot& at(Place place) const { return slots_.at(place); }
+  const Slot& at(SlotNumber slot_number) const { return slots_.at(slot_number); }
   /// Returns the number of slots of this type and zone.
   int count(const std::string& type, const std::string& zone) const;
-  std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
-                                   const Fit& fit) {
-    return slots_.select_slot(spec, placed, fit);
+  std::optional<SlotNumber> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
+                                        const PlacementConstraints& constraints) {
+    return slots_.select_slot(spec, placed, constraints);
+  }
+  void place_task(SlotNumber slot_number, const store::Resources& resources) {
+    slots_.place_task(slot_number, resources);
   }
-  void take(Place place, const store::Resources& resources) { slots_.take(place, resources); }
   /// Adds an empty machine. Returns nothing if the type is unknown or not offered in the zone.
-  std::optional<Place> add(const MachineKind& kind);
+  std::optional<SlotNumber> add(const MachineKind& kind);
   /// Returns whether a slot from number `from` on can take a task of this job. Ignores the job's
   /// zone rules.
-  bool any_slot_fits(const store::JobSpec& spec, Place from) const;
+  bool any_slot_fits(const store::JobSpec& spec, SlotNumber from) const;
   Checkpoint checkpoint() const { return {slots_.changes(), slots_by_type_and_zone_}; }
   /// Undoes all additions and placements since the checkpoint.
   void restore(const Checkpoint& checkpoint);
--- a/src/coordination/fleet/shard_load.cpp
+++ b/src/coordination/fleet/shard_load.cpp
@@ -24,7 +24,8 @@
     auto& counts = load.placed_tasks[job.spec.job_class];
     ++(machine && machine->record.spot ? counts.spot : counts.on_demand);
     load.used[placement.machine].add(job.spec.per_task);
-    if (!is_preemptible(job.spec, inputs.context)) load.pinned.insert(placement.machine);
+    if (!is_preemptible(job.spec, inputs.context))
+      load.machines_with_non_preemptible.insert(placement.machine);
     load.used_by_team[job.spec.team].add(job.spec.per_task);
   }
   return displaced;
--- a/src/coordination/fleet/shard_load.h
+++ b/src/coordination/fleet/shard_load.h
@@ -18,7 +18,7 @@
   const store::StateCache& state_cache;
   const Membership& membership;
   const ArrivalForecast& arrival_forecast;
-  const CloudOutlook& outlook;
+  const CloudView& cloud_view;
 };
 
 /// Ids of machines that a plan treats as absent.
@@ -41,9 +41,10 @@
     ArrayQueue arrays;
   };
 
-  std::map<std::string, store::Resources> used;    // by machine
-  std::set<std::string> pinned;                    // machines with work that must not be preempted
-  std::map<std::string, TaskCounts> placed_tasks;  // by class
+  std::map<std::string, store::Resources> used;  // by machine
+  /// Machines with work that must not be preempted.
+  std::set<std::string> machines_with_non_preemptible;
+  std::map<std::string, TaskCounts> placed_tasks;        // by class
   std::map<std::string, store::Resources> used_by_team;  // includes tasks placed by the plan
   Jobs guaranteed;
   Jobs best_effort;
--- a/src/coordination/fleet/shard_planner.cpp
+++ b/src/coordination/fleet/shard_planner.cpp
@@ -61,7 +61,7 @@
 }
 
 std::vector<ArrivalForecast::Forecast> ShardPlanner::forecasts() const {
-  auto expected = inputs_.arrival_forecast.expected(shard_);
+  auto expected = inputs_.arrival_forecast.expected_arrivals(shard_);
   if (!excluded_.empty())
     for (auto& forecast : expected)
       if (!forecast.shape.spot) forecast.jobs *= kDrainHeadroomFactor;
@@ -72,10 +72,10 @@
 // for the work that the shard leader keeps out of the headroom.
 void ShardPlanner::reserve_headroom(const std::vector<ArrivalForecast::Forecast>& forecasts) {
   for (const auto& forecast : forecasts)
-    keep_headroom_for(headroom_, forecast.shape,
-                      forecast.jobs * static_cast<double>(forecast.shape.tasks));
+    add_to_headroom(headroom_, forecast.shape,
+                    forecast.jobs * static_cast<double>(forecast.shape.tasks));
   for (const auto* job : load_.guaranteed.waiting)
-    keep_headroom_for(headroom_, job->spec, missing_tasks(*job));
+    add_to_headroom(headroom_, job->spec, missing_tasks(*job));
 }
 
 void ShardPlanner::plan_waiting(const std::vector<const JobRecord*>& jobs) {
@@ -121,8 +121,8 @@
   const bool best_effort = context.is_best_effort(job.spec.team);
   if (best_effort) {
     request.may_provision_gpus = false;
-    request.idle_room_only = takes_idle_room_only(job, context);
-    request.spot_only |= request.idle_room_only;
+    request.best_effort_capacity_only = uses_best_effort_capacity_only(job, context);
+    request.spot_only |= request.best_effort_capacity_only;
   }
   if (job.spec.kind == JobKind::array && job.spec.estimate_s > 0)
     request.may_provision = exceeds_array_throughput(
@@ -155,7 +155,7 @@
   const auto& spec = request.spec;
   return placement_shape(spec) + (spec.spread || spec.one_zone ? zones_shape(zones) : "") +
          (request.spot_only ? "|o" : "") + (request.may_provision ? "|r" : "") +
-         (request.may_provision_gpus ? "|g" : "") + (request.idle_room_only ? "|i" : "");
+         (request.may_provision_gpus ? "|g" : "") + (request.best_effort_capacity_only ? "|i" : "");
 }
 
 // Places the first task of a job. After a failure, jobs of the same shape are tried only if a slot
@@ -212,7 +212,7 @@
                               .spot_only = request.spot_only,
                               .may_provision = request.may_provision,
                               .may_provision_gpus = request.may_provision_gpus,
-                              .idle_room_only = request.idle_room_only};
+                              .best_effort_capacity_only = request.best_effort_capacity_only};
     if (place_all_or_none(in_zone, zones, tasks)) return;
   }
 }
@@ -224,43 +224,43 @@
     plan_.unmet.push_back({shard_, spec, zones});
 }
 
-Fit ShardPlanner::fit_for(const TaskRequest& request) const {
-  Fit fit;
-  fit.cpu_per_gpu = load_.cpu_per_gpu;
-  fit.reserve = headroom_;
+PlacementConstraints ShardPlanner::constraints_for(const TaskRequest& request) const {
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = load_.cpu_per_gpu;
+  constraints.headroom = headroom_;
   // Forecast work that can use spot machines must not occupy an on-demand machine. The same
   // holds for waiting work while work waits that must not be preempted.
-  fit.spot_only = request.spot_only && (load_.unpreemptible_waiting || !request.urgent);
-  fit.idle_room_only = request.idle_room_only;
-  return fit;
+  constraints.spot_only = request.spot_only && (load_.unpreemptible_waiting || !request.urgent);
+  constraints.best_effort_capacity_only = request.best_effort_capacity_only;
+  return constraints;
 }
 
 // Finds a slot or provisions a machine. Work without GPUs is tried in this order: CPUs that no free
 // GPU needs, a new machine without GPUs, CPUs that free GPUs need, a new machine with GPUs.
-std::optional<ShardCapacity::Place> ShardPlanner::find_place(const TaskRequest& request,
-                                                             const ZoneCounts& zones) {
+std::optional<ShardCapacity::SlotNumber> ShardPlanner::find_place(const TaskRequest& request,
+                                                                  const ZoneCounts& zones) {
   const auto& spec = request.spec;
-  Fit fit = fit_for(request);
-  auto place = capacity_.select_slot(spec, zones, fit);
-  if (place || !request.may_provision) return place;
-  place = provision_slot(request, zones, TypesForCpuWork::without_gpus);
-  if (!place && spec.per_task.gpus == 0) {
-    fit.strand_gpus = true;
-    place = capacity_.select_slot(spec, zones, fit);
-    if (!place && request.may_provision_gpus)
-      place = provision_slot(request, zones, TypesForCpuWork::with_gpus);
+  PlacementConstraints constraints = constraints_for(request);
+  auto slot_number = capacity_.select_slot(spec, zones, constraints);
+  if (slot_number || !request.may_provision) return slot_number;
+  slot_number = provision_slot(request, zones, TypesForCpuWork::without_gpus);
+  if (!slot_number && spec.per_task.gpus == 0) {
+    constraints.may_strand_gpus = true;
+    slot_number = capacity_.select_slot(spec, zones, constraints);
+    if (!slot_number && request.may_provision_gpus)
+      slot_number = provision_slot(request, zones, TypesForCpuWork::with_gpus);
   }
-  if (!place) add_unmet_demand(request, zones);
-  return place;
+  if (!slot_number) add_unmet_demand(request, zones);
+  return slot_number;
 }
 
 bool ShardPlanner::place_task(const TaskRequest& request, ZoneCounts& zones) {
   const auto& spec = request.spec;
   if (!within_quota(spec)) return false;
-  const auto place = find_place(request, zones);
-  if (!place) return false;
-  capacity_.take(*place, spec.per_task);
-  zones[*capacity_.at(*place).zone]++;
+  const auto slot_number = find_place(request, zones);
+  if (!slot_number) return false;
+  capacity_.place_task(*slot_number, spec.per_task);
+  zones[*capacity_.at(*slot_number).zone]++;
   load_.used_by_team[spec.team].add(spec.per_task);
   return true;
 }
@@ -269,11 +269,12 @@
                                                        const ZoneCounts& zones,
                                                        TypesForCpuWork types) const {
   const auto& spec = request.spec;
-  const auto& outlook = inputs_.outlook;
+  const auto& cloud_view = inputs_.cloud_view;
   const bool with_gpus = types == TypesForCpuWork::with_gpus;
   std::optional<MachineKind> cheapest;
   double lowest_cost = 0;
-  for (const auto& type : outlook.prices.empty() ? inputs_.state_cache.types() : outlook.prices) {
+  for (const auto& type :
+       cloud_view.priced_types.empty() ? inputs_.state_cache.types() : cloud_view.priced_types) {
     const int fitting = type_allowed(spec, type.name) ? capacity_for(spec, type) : 0;
     if (fitting <= 0 || (spec.per_task.gpus == 0 && (type.size.gpus > 0) != with_gpus)) continue;
     for (const auto& zone : type.zones) {
@@ -282,9 +283,9 @@
       const double zone_factor =
           1 + kZoneBalancePenalty * static_cast<double>(capacity_.count(type.name, zone));
       for (const bool spot : {false, true}) {
-        if (!kind_allowed(spec, spot) || (request.spot_only && !spot)) continue;
+        if (!spot_allowed(spec, spot) || (request.spot_only && !spot)) continue;
         const MachineKind candidate{type.name, zone, spot};
-        if (outlook.unavailable.count(candidate)) continue;
+        if (cloud_view.unavailable.count(candidate)) continue;
         const double cost = (spot ? type.spot_price : type.price) / fitting * zone_factor;
         if (cheapest && cost >= lowest_cost) continue;
         cheapest = candidate;
@@ -295,14 +296,14 @@
   return cheapest;
 }
 
-std::optional<ShardCapacity::Place> ShardPlanner::provision_slot(const TaskRequest& request,
-                                                                 const ZoneCounts& zones,
-                                                                 TypesForCpuWork types) {
+std::optional<ShardCapacity::SlotNumber> ShardPlanner::provision_slot(const TaskRequest& request,
+                                                                      const ZoneCounts& zones,
+                                                                      TypesForCpuWork types) {
   const auto kind = cheapest_kind(request, zones, types);
   if (!kind) return std::nullopt;
-  const auto place = capacity_.add(*kind);
-  if (place) add_shortage(request, *kind);
-  return place;
+  const auto slot_number = capacity_.add(*kind);
+  if (slot_number) add_shortage(request, *kind);
+  return slot_number;
 }
 
 void ShardPlanner::add_shortage(const TaskRequest& request, const MachineKind& kind) {
@@ -319,8 +320,8 @@
 
 void ShardPlanner::log_load() const {
   store::Resources free;
-  for (size_t place = 0; place < capacity_.existing_slots(); ++place)
-    free.add(capacity_.at(place).free);
+  for (size_t slot_number = 0; slot_number < capacity_.existing_slots(); ++slot_number)
+    free.add(capacity_.at(slot_number).free);
   store::Resources waiting;
   std::map<std::string, int> waiting_tasks;  // by class
   for (const auto* jobs : {&load_.guaranteed, &load_.best_effort})
--- a/src/coordination/fleet/shard_planner.h
+++ b/src/coordination/fleet/shard_planner.h
@@ -31,7 +31,8 @@
     bool spot_only = false;  // only spot machines may be provisioned
     bool may_provision = true;
     bool may_provision_gpus = true;  // work without GPUs may get a new machine with GPUs
-    bool idle_room_only = false;     // only spot slots and pinned slots, as in `Fit`
+    /// Allows only spot machines and machines with non-preemptible work.
+    bool best_effort_capacity_only = false;
   };
   /// Which machine types are considered for work without GPUs.
   enum class TypesForCpuWork { without_gpus, with_gpus };
@@ -54,12 +55,12 @@
   bool place_first_task(const TaskRequest& request, ZoneCounts& zones);
   bool place_all_or_none(const TaskRequest& request, ZoneCounts zones, uint32_t tasks);
   void place_gang(const TaskRequest& request, const ZoneCounts& zones, uint32_t tasks);
-  Fit fit_for(const TaskRequest& request) const;
-  std::optional<ShardCapacity::Place> find_place(const TaskRequest& request,
-                                                 const ZoneCounts& zones);
-  std::optional<ShardCapacity::Place> provision_slot(const TaskRequest& request,
-                                                     const ZoneCounts& zones,
-                                                     TypesForCpuWork types);
+  PlacementConstraints constraints_for(const TaskRequest& request) const;
+  std::optional<ShardCapacity::SlotNumber> find_place(const TaskRequest& request,
+                                                      const ZoneCounts& zones);
+  std::optional<ShardCapacity::SlotNumber> provision_slot(const TaskRequest& request,
+                                                          const ZoneCounts& zones,
+                                                          TypesForCpuWork types);
   std::optional<MachineKind> cheapest_kind(const TaskRequest& request, const ZoneCounts& zones,
                                            TypesForCpuWork types) const;
   void add_shortage(const TaskRequest& request, const MachineKind& kind);
--- a/src/coordination/fleet/type_catalogue.cpp
+++ b/src/coordination/fleet/type_catalogue.cpp
@@ -47,11 +47,11 @@
 void TypeCatalogue::record_types() {
   WriteRequest write;
   write.key = store::types_key;
-  write.prepare = [this](Prepared& prepared) {
-    prepared.expected = state_cache_.mod_revision_of(store::types_key);
+  write.prepare = [this](PreparedWrite& prepared) {
+    prepared.expected_mod_revision = state_cache_.mod_revision_of(store::types_key);
     prepared.value = store::Json{{"types", to_json(prices_)}};
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
-    return membership_.leading();
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
+    return membership_.is_cluster_leader();
   };
   write.done = [](WriteOutcome, uint64_t) {};
   state_store_.write(std::move(write));
--- a/src/coordination/fleet/unrecorded_machines.cpp
+++ b/src/coordination/fleet/unrecorded_machines.cpp
@@ -8,14 +8,15 @@
   records_[machine.id] = machine;
   WriteRequest write;
   write.key = store::machine_key(machine.id);
-  write.cause = WriteCause::machine_rented;
-  write.prepare = [this, id = machine.id](Prepared& prepared) {
+  write.cause = WriteCause::machine_provisioned;
+  write.prepare = [this, id = machine.id](PreparedWrite& prepared) {
     const auto unrecorded = records_.find(id);
-    if (unrecorded == records_.end() || state_cache_.machine(id) || !membership_.leading())
+    if (unrecorded == records_.end() || state_cache_.machine(id) ||
+        !membership_.is_cluster_leader())
       return false;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = to_json(unrecorded->second);
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
     return true;
   };
   // If the write failed, the next listing of the cloud's machines finds the machine without a
--- a/src/coordination/jobs/admission.cpp
+++ b/src/coordination/jobs/admission.cpp
@@ -28,13 +28,15 @@
   if (state_cache_.knows_job(spec.id)) return {Verdict::known};
   if (!can_ever_run(spec)) return {Verdict::can_never_run};
   if (near_memory_limit()) return {Verdict::shed_for_memory, context_.settings.lease_s};
-  const double write_delay = state_store_.accept_delay(spec.rank);
-  if (write_delay > context_.tunables.user_wait_s * kWriteShareOfUserWait)
+  const double write_delay = state_store_.acceptance_delay_s(spec.rank);
+  if (write_delay > context_.tunables.write_wait_s * kWriteShareOfUserWait)
     return {Verdict::retry_later, write_delay};
   return {Verdict::admit};
 }
 
-bool Admission::sheds_queries() const { return context_.lag > context_.tunables.shed_polls_lag_s; }
+bool Admission::sheds_queries() const {
+  return context_.lag > context_.tunables.shed_queries_lag_s;
+}
 
 bool Admission::can_ever_run(const JobSpec& spec) const {
   return within_quota(spec) && some_type_fits_a_task(spec);
--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -24,7 +24,7 @@
 // ---- answers ----
 
 void JobService::answer(RequestId request, int status) {
-  context_.out.push_back(AnswerUser{request, status, std::nullopt, 0});
+  context_.effects.push_back(AnswerUser{request, status, std::nullopt, 0});
 }
 
 void JobService::answer_with_job(RequestId request, int status, const std::string& id) {
@@ -36,7 +36,7 @@
   } else if (const auto* finished = state_cache_.finished_job(id)) {
     reply.job = JobView{id, finished->status, finished->tasks_done, 0};
   }
-  context_.out.push_back(std::move(reply));
+  context_.effects.push_back(std::move(reply));
 }
 
 void JobService::answer_if_known(RequestId request, const std::string& id, int status_if_unknown) {
@@ -56,7 +56,7 @@
 
 void JobService::refuse(RequestId request, double retry_after_s) {
   context_.counters["refused"]++;
-  context_.out.push_back(AnswerUser{request, kUnavailable, std::nullopt, retry_after_s});
+  context_.effects.push_back(AnswerUser{request, kUnavailable, std::nullopt, retry_after_s});
 }
 
 bool JobService::has_final_state(const std::string& id) const {
@@ -93,7 +93,7 @@
       return answer_if_known(request, id, kCanNeverRun);
     case AdmissionDecision::Verdict::admit: break;
   }
-  pending_[request] = {id, context_.now + context_.tunables.user_wait_s,
+  pending_[request] = {id, context_.now + context_.tunables.write_wait_s,
                        std::move(submission.spec)};
   write_submission(request);
 }
@@ -105,13 +105,13 @@
   write.cause = WriteCause::acceptance;
   write.rank = pending.spec->rank;
   write.team = pending.spec->team;
-  write.prepare = [this, request, id = pending.id](Prepared& prepared) {
+  write.prepare = [this, request, id = pending.id](PreparedWrite& prepared) {
     const auto still_pending = pending_.find(request);
     if (still_pending == pending_.end() || state_cache_.knows_job(id)) return false;
     JobRecord record;
     record.spec = *still_pending->second.spec;
     record.submitted = context_.wall;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = to_json(record);
     return true;
   };
@@ -161,7 +161,7 @@
     });
     return;
   }
-  pending_[cancellation.request] = {cancellation.id, context_.now + context_.tunables.user_wait_s,
+  pending_[cancellation.request] = {cancellation.id, context_.now + context_.tunables.write_wait_s,
                                     std::nullopt};
   write_cancellation(cancellation.request);
 }
@@ -175,12 +175,12 @@
   WriteRequest write;
   write.key = store::job_key(id);
   write.cause = WriteCause::cancellation;
-  write.prepare = [this, request, id](Prepared& prepared) {
+  write.prepare = [this, request, id](PreparedWrite& prepared) {
     const auto* durable = state_cache_.job(id);
     if (!pending_.count(request) || !durable || durable->record.final_state()) return false;
     JobRecord record = durable->record;
     record.status = JobStatus::cancelled;
-    prepared.expected = durable->mod_revision;
+    prepared.expected_mod_revision = durable->mod_revision;
     prepared.value = to_json(record);
     return true;
   };
@@ -201,12 +201,12 @@
   WriteRequest write;
   write.key = store::cancel_key(id);
   write.cause = WriteCause::cancellation;
-  write.prepare = [this, request, id](Prepared& prepared) {
+  write.prepare = [this, request, id](PreparedWrite& prepared) {
     const auto* durable = state_cache_.job(id);
     if (!pending_.count(request) || !durable || durable->record.final_state() ||
         !state_store_.oversized(to_json(durable->record)))
       return false;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = store::cancellation_to_json(context_.wall);
     prepared.preconditions.push_back({store::job_key(id), durable->mod_revision});
     return true;
@@ -221,7 +221,7 @@
                                          WriteOutcome outcome) {
   if (!pending_.count(request)) return;
   if (has_final_state(id)) return answer_pending(request, kOk);
-  const bool retry = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
+  const bool retry = outcome == WriteOutcome::conflict || outcome == WriteOutcome::indeterminate ||
                      outcome == WriteOutcome::skipped;
   if (retry && !state_store_.disconnected()) return write_cancellation(request);
   answer_pending(request, kUnavailable);
@@ -233,7 +233,7 @@
   if (!state_store_.synced()) return false;
   // If all controllers are disconnected, this one can answer (final states, refusals) as well as
   // any other.
-  return state_store_.lease_valid() || membership_.outage_shared();
+  return state_store_.lease_valid() || membership_.all_peers_lack_state_store();
 }
 
 double JobService::next_due() const {
--- a/src/coordination/membership/budget_division.cpp
+++ b/src/coordination/membership/budget_division.cpp
@@ -13,8 +13,8 @@
 
 void BudgetDivision::update() {
   std::vector<double> needs = peer_needs();
-  const double own_need = std::max(min_need(), state_store_.need());
-  state_store_.set_weight(fair_share(own_need, std::move(needs)));
+  const double own_need = std::max(min_need(), state_store_.needed_budget_share());
+  state_store_.set_budget_share(fair_share(own_need, std::move(needs)));
 }
 
 std::vector<double> BudgetDivision::peer_needs() {
@@ -26,7 +26,7 @@
       // A peer that is not heard but still leads a shard runs behind refused connections and spends
       // budget, too. When each controller took the whole budget for itself, the state store refused
       // requests of all of them for exceeding the rate limit.
-      needs.push_back(std::max(even_share(), state_store_.need()));
+      needs.push_back(std::max(even_share(), state_store_.needed_budget_share()));
     }
   }
   return needs;
--- a/src/coordination/membership/budget_division.h
+++ b/src/coordination/membership/budget_division.h
@@ -26,7 +26,7 @@
  private:
   // The needs and shares below are fractions of the whole budget.
   double even_share() const { return 1.0 / static_cast<double>(order_.size()); }
-  double min_need() const { return even_share() * Tunables::kIdleShare; }
+  double min_need() const { return even_share() * Tunables::kIdleBudgetShare; }
   double reported_need(const PeerState& state) const;
   std::vector<double> peer_needs();
 
--- a/src/coordination/membership/cancellation_exchange.cpp
+++ b/src/coordination/membership/cancellation_exchange.cpp
@@ -15,20 +15,21 @@
   constexpr size_t kMaxPerMessage = 512;  // the rest follows with the next query
   const auto& all = state_cache_.cancellations();
   CancellationOffer offer;
-  offer.mark.incarnation = context_.incarnation;
-  if (requester.acknowledged && requester.acknowledged->incarnation == context_.incarnation &&
-      requester.acknowledged->count <= all.size())
-    offer.from = requester.acknowledged->count;
-  uint64_t& count = offer.mark.count = offer.from;
+  offer.end.incarnation = context_.incarnation;
+  if (requester.known_cancellations &&
+      requester.known_cancellations->incarnation == context_.incarnation &&
+      requester.known_cancellations->count <= all.size())
+    offer.from = requester.known_cancellations->count;
+  uint64_t& count = offer.end.count = offer.from;
   for (; count < all.size() && offer.cancellations.size() < kMaxPerMessage; ++count)
     if (all[count].mod_revision > requester.revision) offer.cancellations.push_back(all[count]);
-  offer.whole = count == all.size();
+  offer.complete = count == all.size();
   return offer;
 }
 
 void CancellationExchange::apply_offer(const PeerState& answer, double query_sent_at) {
   if (!answer.offered_cancellations ||
-      answer.offered_cancellations->mark.incarnation != answer.incarnation)
+      answer.offered_cancellations->end.incarnation != answer.incarnation)
     return;
   const CancellationOffer& offer = *answer.offered_cancellations;
   auto& coverage = coverage_.at(answer.node);
@@ -37,8 +38,8 @@
   if (!continues && offer.from != 0) return;  // a gap: the next offer fills it
   for (const auto& cancellation : offer.cancellations)
     state_cache_.add_unconfirmed_cancellation(cancellation);
-  coverage.position = offer.mark;
-  if (!offer.whole) {
+  coverage.position = offer.end;
+  if (!offer.complete) {
     peers_.query_next_tick(answer.node);
     return;
   }
@@ -67,7 +68,7 @@
 // while changes, cancellations among them, do not arrive. An empty optional is less than any time.
 std::optional<double> CancellationExchange::covered_until() const {
   std::optional<double> cache_current_at;
-  if (state_store_.ever_synced()) cache_current_at = state_store_.current_at();
+  if (state_store_.ever_synced()) cache_current_at = state_store_.cache_current_as_of();
   // The cancellations that this controller's previous incarnations acknowledged are durable, so
   // each state cache that was read since holds them.
   std::optional<double> until = previous_incarnations_covered_until_;
--- a/src/coordination/membership/cancellation_exchange.h
+++ b/src/coordination/membership/cancellation_exchange.h
@@ -30,11 +30,12 @@
 //    position in the peer's list of cancellations (incarnation, count). The peer answers from that
 //    list, which is in the order in which it learned of them, with those above the revision. A peer
 //    acknowledges a cancellation to a user only if it is in its list, so an offer that leaves
-//    nothing out (`whole`) proves that this controller knows all that the peer acknowledged, in its
-//    present incarnation, before the query. Mod revisions cannot serve as the position, as the peer
-//    may learn of a smaller one later. Offers are needed when the state store first refuses only
-//    this controller, the others acknowledge cancellations, and then the state store fails for all:
-//    that every controller lacks the state store says nothing of what they acknowledged before.
+//    nothing out (`complete`) proves that this controller knows all that the peer acknowledged, in
+//    its present incarnation, before the query. Mod revisions cannot serve as the position, as the
+//    peer may learn of a smaller one later. Offers are needed when the state store first refuses
+//    only this controller, the others acknowledge cancellations, and then the state store fails for
+//    all: that every controller lacks the state store says nothing of what they acknowledged
+//    before.
 // 3. The peer's state cache. The same answer tells how long ago the peer's state cache was proven
 //    current. All that any controller acknowledged before then is in the peer's list or below this
 //    controller's own revision. This covers previous incarnations, the peer's and this
--- a/src/coordination/membership/lease_claims.cpp
+++ b/src/coordination/membership/lease_claims.cpp
@@ -39,9 +39,9 @@
   WriteRequest request;
   request.key = key;
   request.cause = WriteCause::lease_holder;
-  request.prepare = [this, key, expected_mod_revision](Prepared& prepared) {
+  request.prepare = [this, key, expected_mod_revision](PreparedWrite& prepared) {
     if (state_cache_.mod_revision_of(key) != expected_mod_revision) return false;
-    prepared.expected = expected_mod_revision;
+    prepared.expected_mod_revision = expected_mod_revision;
     prepared.value =
         to_json(store::LeaseHolderRecord{context_.settings.node, context_.incarnation});
     prepared.lease = state_store_.lease();
@@ -57,10 +57,10 @@
   WriteRequest request;
   request.key = key;
   request.cause = WriteCause::lease_holder;
-  request.prepare = [fencing_token = std::move(fencing_token)](Prepared& prepared) {
+  request.prepare = [fencing_token = std::move(fencing_token)](PreparedWrite& prepared) {
     const auto token = fencing_token();
     if (!token) return false;
-    prepared.expected = *token;  // no value: the key is deleted
+    prepared.expected_mod_revision = *token;  // no value: the key is deleted
     return true;
   };
   request.done = [this, key](WriteOutcome, uint64_t) { pending_writes_.erase(key); };
--- a/src/coordination/membership/membership.cpp
+++ b/src/coordination/membership/membership.cpp
@@ -18,7 +18,7 @@
   return {.own_state_for =
               [this](const std::string& peer) {
                 PeerState own = own_state();
-                own.acknowledged = cancellations_.position(peer);
+                own.known_cancellations = cancellations_.position(peer);
                 return own;
               },
           .on_peer_answered =
--- a/src/coordination/membership/membership.h
+++ b/src/coordination/membership/membership.h
@@ -57,7 +57,7 @@
   void on_lease_lost();
 
   /// Number of shards: one per controller.
-  int shards() const { return order_.shard_count(); }
+  int shard_count() const { return order_.shard_count(); }
   /// Shard of the team's jobs; -1: the team is not in the settings.
   int shard_of_team(const std::string& team) const {
     constexpr int kUnknownTeam = -1;
@@ -65,16 +65,16 @@
   }
   /// Fencing token: mod revision of the shard's key if this controller holds the key and its state
   /// cache covers that revision; 0 otherwise.
-  uint64_t shard_token(int shard) const { return shards_.fencing_token(shard).value_or(0); }
+  uint64_t shard_fencing_token(int shard) const { return shards_.fencing_token(shard).value_or(0); }
   /// Controller that leads the shard according to the state cache; empty: none known.
   std::string shard_leader(int shard) const { return shards_.leader_of(shard).value_or(""); }
   /// Whether the controller leads some shard according to the state cache.
   bool leads_a_shard(const std::string& node) const { return shards_.leads_a_shard(node); }
 
   /// Whether this controller may act as the cluster leader now.
-  bool leading() const { return leader_.leading(); }
+  bool is_cluster_leader() const { return leader_.leading(); }
   /// Mod revision of the cluster leader's key if the key names this controller; 0 otherwise.
-  uint64_t leader_revision() const { return leader_.mod_revision().value_or(0); }
+  uint64_t leader_fencing_token() const { return leader_.mod_revision().value_or(0); }
 
   /// Whether this controller may answer workers of the shards that it leads.
   bool may_renew_workers() const { return cancellations_.may_renew_workers(); }
@@ -89,9 +89,11 @@
   }
 
   /// Whether a live peer reports recent heartbeats from the machine.
-  bool peer_hears(const std::string& machine) const { return peers_.any_hears_machine(machine); }
+  bool any_peer_hears_machine(const std::string& machine) const {
+    return peers_.any_hears_machine(machine);
+  }
   /// Names of the live peers.
-  std::vector<std::string> controllers_heard() const { return peers_.live_peers(); }
+  std::vector<std::string> live_peers() const { return peers_.live_peers(); }
   /// Address of a live peer; empty: the peer is not alive, or not in the settings.
   std::string address_of(const std::string& node) const {
     return peers_.address_of(node).value_or("");
@@ -101,9 +103,11 @@
     return peers_.relay_peer(node).value_or("");
   }
   /// Whether every peer is alive and reports that it lacks the state store; false without peers.
-  bool outage_shared() const { return peers_.all_lack_state_store(); }
+  bool all_peers_lack_state_store() const { return peers_.all_lack_state_store(); }
   /// Whether every peer is alive and reports that it reads this record format.
-  bool all_read(uint64_t record_format) const { return peers_.all_read_format(record_format); }
+  bool all_peers_read_format(uint64_t record_format) const {
+    return peers_.all_peers_read_format(record_format);
+  }
   /// Program version and record format of each controller, for operators.
   store::Json versions() const { return peers_.versions(); }
 
--- a/src/coordination/membership/peer_directory.cpp
+++ b/src/coordination/membership/peer_directory.cpp
@@ -60,7 +60,7 @@
   // count as current: it may say that the peer lacks the state store, or that an earlier
   // incarnation is alive.
   if (state.at <
-      context_.wall - context_.tunables.peer_fresh_s - 2 * context_.settings.clock_error_s)
+      context_.wall - context_.tunables.peer_timeout_s - 2 * context_.settings.clock_error_s)
     return;
   for (auto& peer : peers_) {
     if (peer.settings.node != state.node) continue;
@@ -105,7 +105,7 @@
 bool PeerDirectory::stable(const std::string& node) const {
   const Peer* peer = find(node);
   return peer && alive(*peer) && peer->state.has_state_store && peer->state.synced &&
-         context_.now - peer->stable_since >= context_.tunables.home_steady_s;
+         context_.now - peer->stable_since >= context_.tunables.home_stable_s;
 }
 
 bool PeerDirectory::all_lack_state_store() const {
@@ -114,7 +114,7 @@
   });
 }
 
-bool PeerDirectory::all_read_format(uint64_t record_format) const {
+bool PeerDirectory::all_peers_read_format(uint64_t record_format) const {
   return std::all_of(peers_.begin(), peers_.end(), [&](const Peer& peer) {
     return alive(peer) && peer.state.record_format >= record_format;
   });
--- a/src/coordination/membership/peer_directory.h
+++ b/src/coordination/membership/peer_directory.h
@@ -3,11 +3,11 @@
 // PeerDirectory owns, for each peer of the settings, the state that the peer last reported, the
 // time of the report, and the exchange that brings it: this controller queries every peer with its
 // own state, and the peer answers with its state. PeerDirectory is also the failure detector: a
-// peer counts as alive for `peer_fresh_s` after its last report, and the report counts no longer
+// peer counts as alive for `peer_timeout_s` after its last report, and the report counts no longer
 // than that.
 //
 // Invariant: at most one query per peer is in flight; a state that was sent longer ago than
-// `peer_fresh_s` (plus twice the clock error) never counts as current, however late it arrives.
+// `peer_timeout_s` (plus twice the clock error) never counts as current, however late it arrives.
 //
 // Called by Membership (queries and answers), and read by the other modules of this package.
 #pragma once
@@ -57,22 +57,22 @@
   void on_peer_query(const PeerState& state);
 
   const std::vector<Peer>& peers() const { return peers_; }
-  /// The failure detector: whether the peer has reported its state within `peer_fresh_s`.
+  /// The failure detector: whether the peer has reported its state within `peer_timeout_s`.
   bool alive(const Peer& peer) const {
     return peer.last_heard_at &&
-           context_.now - *peer.last_heard_at < context_.tunables.peer_fresh_s;
+           context_.now - *peer.last_heard_at < context_.tunables.peer_timeout_s;
   }
   /// Whether a live peer reports that it has the state store: a valid lease and a connection.
   bool any_has_state_store() const;
   /// Whether the peer of this name is alive and reports that it has the state store.
   bool has_state_store(const std::string& node) const;
   /// Whether the peer is alive, has the state store and a synced state cache, and has had both for
-  /// at least `home_steady_s`.
+  /// at least `home_stable_s`.
   bool stable(const std::string& node) const;
   /// Whether every peer is alive and reports that it lacks the state store; false without peers.
   bool all_lack_state_store() const;
   /// Whether every peer is alive and reports that it reads this record format.
-  bool all_read_format(uint64_t record_format) const;
+  bool all_peers_read_format(uint64_t record_format) const;
 
   /// Whether a live peer reports recent heartbeats from the machine.
   bool any_hears_machine(const std::string& machine) const;
--- a/src/coordination/membership/shard_assignment.h
+++ b/src/coordination/membership/shard_assignment.h
@@ -9,7 +9,7 @@
 // wrote, and `on_shard_lost` follows every `on_shard_acquired` before the next one of that shard.
 //
 // Each shard has a home controller. Another controller that led the shard while home was
-// unavailable releases the shard when home has been back for `home_steady_s` (failback).
+// unavailable releases the shard when home has been back for `home_stable_s` (failback).
 //
 // Called by Membership: in each tick, when a shard's key changes, and when the lease is lost.
 #pragma once
--- a/src/coordination/preemption/requeue_action.cpp
+++ b/src/coordination/preemption/requeue_action.cpp
@@ -36,7 +36,7 @@
     const auto match = find_fitting_preemptor(*victim, preemptors, slots);
     if (!match) continue;
     eviction.commit();
-    commit_requeue(*victim, *preemptors[match->preemptor].job, match->planned_room);
+    commit_requeue(*victim, *preemptors[match->preemptor].job, match->planned_placements);
     preemptors.erase(preemptors.begin() + static_cast<long>(match->preemptor));
     slots = slot_finder_.slots(shard);  // now without the room just reserved
   }
@@ -86,8 +86,8 @@
     const auto& [job, fit_key] = preemptors[i];
     if (job->desired.spec.rank <= victim.desired.spec.rank) break;  // the queue is sorted by rank
     if (tried_keys.count(fit_key) || preemptor_reservations_.has(job->desired.spec.id)) continue;
-    if (auto planned_room = slot_finder_.room_for_whole(*job, slots))
-      return Match{i, std::move(*planned_room)};
+    if (auto planned_placements = slot_finder_.find_room_for_all_tasks(*job, slots))
+      return Match{i, std::move(*planned_placements)};
     context_.counters["requeue_rollbacks_total"]++;
     tried_keys.insert(fit_key);
   }
@@ -95,7 +95,7 @@
 }
 
 void RequeueAction::commit_requeue(ShardJob& victim, const ShardJob& preemptor,
-                                   const PlannedRoom& planned_room) {
+                                   const PlannedPlacements& planned_placements) {
   const std::string& victim_id = victim.desired.spec.id;
   const std::string& preemptor_id = preemptor.desired.spec.id;
   context_.counters["requeue_commits_total"]++;
@@ -103,7 +103,7 @@
   victim.desired.not_before = context_.wall + context_.operators.requeue_delay_s;  // the cooldown
   for (auto& placement : victim.desired.placed) placement.stopping = true;
   job_writer_.enqueue(victim_id, WriteCause::stop);
-  for (const auto& [machine_id, room] : planned_room)
+  for (const auto& [machine_id, room] : planned_placements)
     preemptor_reservations_.add(
         {preemptor_id, machine_id, room, context_.now + context_.settings.lease_s});
 }
--- a/src/coordination/preemption/requeue_action.h
+++ b/src/coordination/preemption/requeue_action.h
@@ -38,7 +38,7 @@
   /// The preemptor for which the victim is evicted, and where the preemptor's tasks would go.
   struct Match {
     size_t preemptor = 0;  // index in the list of preemptors
-    PlannedRoom planned_room;
+    PlannedPlacements planned_placements;
   };
 
   std::vector<Preemptor> waiting_preemptors(int shard);
@@ -46,7 +46,8 @@
   std::optional<Match> find_fitting_preemptor(const ShardJob& victim,
                                               const std::vector<Preemptor>& preemptors,
                                               std::vector<Slot>& slots);
-  void commit_requeue(ShardJob& victim, const ShardJob& preemptor, const PlannedRoom& planned_room);
+  void commit_requeue(ShardJob& victim, const ShardJob& preemptor,
+                      const PlannedPlacements& planned_placements);
 
   Context& context_;
   ShardState& state_;
--- a/src/coordination/runtime/context.h
+++ b/src/coordination/runtime/context.h
@@ -53,7 +53,7 @@
   ProcessLoad load;
   /// Seconds by which batches run late. A past peak halves with each heartbeat interval.
   double lag = 0;
-  std::vector<Effect> out;  // effects of the current batch
+  std::vector<Effect> effects;  // effects of the current batch
   std::map<std::string, uint64_t> counters;
   LogLine::Level log_level = LogLine::Level::info;
 
@@ -61,10 +61,10 @@
   void call(CallBody body, double timeout_s, Handler handler) {
     const CallId id = ++last_call_;
     handlers_[id] = std::move(handler);
-    out.push_back(Call{id, timeout_s, std::move(body)});
+    effects.push_back(Call{id, timeout_s, std::move(body)});
   }
   /// Runs the handler of the call that is done.
-  void returned(CallDone&& done) {
+  void on_call_done(CallDone&& done) {
     auto node = handlers_.extract(done.call);
     if (!node.empty()) node.mapped()(std::move(done));
   }
@@ -80,7 +80,7 @@
   }
   bool logs(LogLine::Level level) const { return level <= log_level; }
   void log(LogLine::Level level, std::string text) {
-    if (logs(level)) out.push_back(LogLine{level, std::move(text)});
+    if (logs(level)) effects.push_back(LogLine{level, std::move(text)});
   }
   void info(std::string text) { log(LogLine::Level::info, std::move(text)); }
   void debug(std::string text) { log(LogLine::Level::debug, std::move(text)); }
--- a/src/coordination/runtime/peer_messages.h
+++ b/src/coordination/runtime/peer_messages.h
@@ -17,13 +17,13 @@
   uint64_t count = 0;  // cancellations before this position
 };
 
-/// The cancellations in a controller's state cache from the position `from` up to `mark`, without
+/// The cancellations in a controller's state cache from the position `from` up to `end`, without
 /// those that the querying controller's state cache already covers.
 struct CancellationOffer {
-  CancellationPosition mark;
+  CancellationPosition end;
   uint64_t from = 0;
-  /// The list has no cancellations after `mark`.
-  bool whole = false;
+  /// The list has no cancellations after `end`.
+  bool complete = false;
   std::vector<store::Cancellation> cancellations;
 };
 
@@ -52,7 +52,7 @@
   /// Seconds since the state cache was last proven current; none: never.
   std::optional<double> current_age_s;
   /// In queries: the position up to which the sender has the receiver's cancellations.
-  std::optional<CancellationPosition> acknowledged;
+  std::optional<CancellationPosition> known_cancellations;
   /// In answers: cancellations that the querying controller may not know.
   std::optional<CancellationOffer> offered_cancellations;
   /// Version of the controller's program, shown to operators.
--- a/src/coordination/runtime/token_bucket.h
+++ b/src/coordination/runtime/token_bucket.h
@@ -19,13 +19,13 @@
   }
   void take(double amount) { tokens_ -= amount; }
   /// Returns the time at which `level` will be above `floor` if nothing is taken until then.
-  double above_at(double floor, double now) {
+  double time_above(double floor, double now) {
     const double missing = floor * std::max(1.0, rate_) - level(now) * std::max(1.0, rate_);
     return missing < 0 ? now : now + missing / std::max(kMinRate, rate_);
   }
 
  private:
-  /// Lower bound of the rate in `above_at`, so that a rate of 0 gives a late time instead of a
+  /// Lower bound of the rate in `time_above`, so that a rate of 0 gives a late time instead of a
   /// division by zero.
   static constexpr double kMinRate = 1e-3;
   double rate_ = 1, tokens_ = 1, last_ = 0;
--- a/src/coordination/runtime/tunables.h
+++ b/src/coordination/runtime/tunables.h
@@ -11,25 +11,25 @@
   explicit Tunables(const store::Settings& s)
       : state_lease_s(s.lease_s / 4),
         renew_every_s(state_lease_s / 3),
-        watch_hold_s(s.lease_s / 3.5),
+        watch_timeout_s(s.lease_s / 3.5),
         peer_every_s(s.heartbeat_interval_s / 2),
-        peer_fresh_s(s.heartbeat_interval_s * 1.5),
+        peer_timeout_s(s.heartbeat_interval_s * 1.5),
         probe_after_s(s.heartbeat_interval_s * 2.5),
         probe_every_s(s.heartbeat_interval_s / 2),
         command_timeout_s(s.heartbeat_interval_s),
         silence_limit_s(s.lease_s * 0.6),
         correlated_silence_limit_s(std::max(s.lease_s * 2, s.cancel_s * 1.25)),
         disconnected_limit_s((s.cancel_s - s.lease_s) * 0.95),
-        home_steady_s(s.lease_s * 1.5),
-        forward_s(s.lease_s * 2),
-        forward_limit_s(s.lease_s * 4),
-        user_wait_s(4.0),
-        poll_wait_s(1.5),
-        shed_polls_lag_s(poll_wait_s / 2),
-        coalesce_s(s.heartbeat_interval_s),
-        background_s(s.lease_s / 2),
-        demand_memory_s(s.heartbeat_interval_s * 2),
-        drain_s(s.heartbeat_interval_s / 2),
+        home_stable_s(s.lease_s * 1.5),
+        redirect_retry_s(s.lease_s * 2),
+        forward_only_limit_s(s.lease_s * 4),
+        write_wait_s(4.0),
+        query_timeout_s(1.5),
+        shed_queries_lag_s(query_timeout_s / 2),
+        coalesced_write_delay_s(s.heartbeat_interval_s),
+        background_write_delay_s(s.lease_s / 2),
+        write_demand_half_life_s(s.heartbeat_interval_s * 2),
+        backlog_drain_s(s.heartbeat_interval_s / 2),
         command_slots(slots(s, kCommandShare)),
         silent_command_slots(slots(s, kCommandShare * kSilentCommandShare)),
         forward_slots(slots(s, kForwardShare)) {}
@@ -47,17 +47,17 @@
   /// large: the state cache is proven current less often, which counts against
   /// `disconnected_limit_s` in an outage. Too small: more watch requests, which are limited by
   /// `kWatchShare`.
-  double watch_hold_s;
+  double watch_timeout_s;
 
   // ---- peers ----
 
   /// Interval of the state queries to each peer and timeout of each, in seconds. Too small: more
-  /// messages between controllers. Too large: live peers count as dead (`peer_fresh_s`).
+  /// messages between controllers. Too large: live peers count as dead (`peer_timeout_s`).
   double peer_every_s;
   /// A peer counts as alive if it was heard within this time, in seconds; a state that is older
   /// than this and twice the clock error is ignored. Too small: one late answer makes a live peer
   /// count as dead. Too large: a dead peer counts as alive for longer.
-  double peer_fresh_s;
+  double peer_timeout_s;
 
   // ---- commands to workers, and their silence ----
 
@@ -94,44 +94,44 @@
   /// A shard is released to its home controller when that has been alive, connected and synced for
   /// this long, in seconds. Too small: shards move to a home that fails again. Too large: shards
   /// stay away from their homes for longer.
-  double home_steady_s;
+  double home_stable_s;
   /// How long a worker's heartbeats are forwarded to its shard leader, in seconds, before the
   /// worker is redirected there again. Too small: workers that can't reach the leader try it more
   /// often, and each try costs them half a lease.
-  double forward_s;
+  double redirect_retry_s;
   /// How long a machine that is reached only through other controllers is kept, in seconds. Nothing
   /// new can be started on it. Too small: machines are deleted in a partition that ends soon after.
-  double forward_limit_s;
+  double forward_only_limit_s;
 
   // ---- users ----
 
   /// How long a submission or cancellation waits for its write, in seconds. The protocol allows 5 s
   /// for the answer to a submission. Too large: answers come after their users have given up. Too
   /// small: requests are refused whose writes would have succeeded.
-  double user_wait_s;
+  double write_wait_s;
   /// Time for the answer to a query, in seconds, from which the limits of a read barrier are
   /// derived. The protocol allows 2 s. Also the timeout of transactions and of the reads that look
   /// up their outcome. Too large: answers come after their users have given up.
-  double poll_wait_s;
+  double query_timeout_s;
   /// Queries are refused while the lag is larger, in seconds. A query has waited for about the lag
   /// when it is read and its answer takes as long again. Too large: answers come after their users
   /// have given up.
-  double shed_polls_lag_s;
+  double shed_queries_lag_s;
 
   // ---- writes to the state store ----
 
   /// How long, in seconds, the end of a single task waits for other changes of its record while the
   /// write budget is short. Too small: more writes of the same record. Too large: the end is
   /// durable later.
-  double coalesce_s;
+  double coalesced_write_delay_s;
   /// The same for writes that nobody needs soon, such as data for display, in seconds.
-  double background_s;
+  double background_write_delay_s;
   /// Half-life, in seconds, of a past write in the estimate of this controller's need of the write
   /// budget.
-  double demand_memory_s;
+  double write_demand_half_life_s;
   /// This controller's need of the write budget is set so that its backlog is written within this
   /// time, in seconds. Too large: the backlog lasts longer.
-  double drain_s;
+  double backlog_drain_s;
 
   // ---- sockets ----
 
@@ -149,7 +149,7 @@
 
   /// Share of the platform's rates (`state.rps`, `state.write_rps`, `cloud.rps`) that is used.
   /// Too large: requests are refused with 429.
-  static constexpr double kBudget = 0.9;
+  static constexpr double kRateLimitShare = 0.9;
   /// Share of a controller's part of `state.rps` for watch requests.
   static constexpr double kWatchShare = 0.35;
   /// Share of a controller's part of `state.rps` for read barriers.
@@ -170,7 +170,7 @@
   static constexpr double kContendedShare[] = {0.3, 0.35, 0.25, 0.06, 0.04};
   /// Share of an even part of the write budget that an idle controller keeps for a burst that its
   /// peers have not heard of.
-  static constexpr double kIdleShare = 0.25;
+  static constexpr double kIdleBudgetShare = 0.25;
 
   // ---- failing machines ----
 
@@ -182,12 +182,12 @@
   static constexpr double kMarkForDeletionShare = 0.15;
   /// A boot that takes this many times the machine type's boot time is overdue, and capacity is
   /// planned without the machine. By the protocol, half as long again as the boot time is usual.
-  static constexpr double kBootUsual = 1.6;
+  static constexpr double kBootOverdueFactor = 1.6;
   /// A machine that has not come up after this many times its type's boot time and one worker lease
   /// is deleted: some never come up, and are charged all the same.
-  static constexpr double kBootPatience = 2.5;
+  static constexpr double kBootTimeoutFactor = 2.5;
   /// Different jobs in a row that have to fail on a machine before it counts as faulty.
-  static constexpr int kFaultyJobs = 2;
+  static constexpr int kMinFailedJobs = 2;
 
  private:
   // Shares of a controller's sockets. Together with the calls to the state store, the cloud and the
--- a/src/coordination/runtime/worker_messages.h
+++ b/src/coordination/runtime/worker_messages.h
@@ -77,11 +77,11 @@
 
 struct AnswerHeartbeat {
   RequestId request = 0;
-  HeartbeatResponse reply;
+  HeartbeatResponse response;
 };
 struct AnswerForwardedHeartbeat {
   RequestId request = 0;
-  HeartbeatResponse reply;
+  HeartbeatResponse response;
 };
 
 // ---- calls ----
--- a/src/coordination/scheduling/arrival_forecast.cpp
+++ b/src/coordination/scheduling/arrival_forecast.cpp
@@ -56,7 +56,7 @@
   return std::max(longest, context_.settings.lease_s / kWindowInBootTimes);
 }
 
-std::vector<ArrivalForecast::Forecast> ArrivalForecast::expected(int shard) const {
+std::vector<ArrivalForecast::Forecast> ArrivalForecast::expected_arrivals(int shard) const {
   std::vector<Forecast> forecasts;
   const double boot_time_s = boot_s();
   const double window_s = boot_time_s * kWindowInBootTimes;
--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -23,7 +23,7 @@
   void on_job_changed(const std::string& id);
   /// Returns the jobs expected in one boot time of the slowest machine type: the mean at the recent
   /// arrival rate plus one standard deviation (the square root of the mean).
-  std::vector<Forecast> expected(int shard) const;
+  std::vector<Forecast> expected_arrivals(int shard) const;
 
  private:
   struct Arrivals {
--- a/src/coordination/scheduling/best_effort.cpp
+++ b/src/coordination/scheduling/best_effort.cpp
@@ -9,7 +9,7 @@
   return job.attempts == 0 && wall - job.submitted > kStarvingAfterSeconds;
 }
 
-bool takes_idle_room_only(const store::JobRecord& job, const Context& context) {
+bool uses_best_effort_capacity_only(const store::JobRecord& job, const Context& context) {
   const auto& spec = job.spec;
   const bool may_wait = spec.rank == store::Rank::low && spec.spot && !spec.deadline_s;
   if (!may_wait || !context.is_best_effort(spec.team) || is_starving(job, context.wall))
--- a/src/coordination/scheduling/best_effort.h
+++ b/src/coordination/scheduling/best_effort.h
@@ -13,8 +13,8 @@
 
 /// Returns true for a best-effort job without a time limit: it may use spot machines, has the
 /// lowest rank and no deadline, and its class has no objective. Such a job runs on spot machines
-/// and on capacity that is idle beside services; no ordinary machine is provisioned or kept for it.
-/// Returns false once the job is starving.
-bool takes_idle_room_only(const store::JobRecord& job, const Context& context);
+/// and on capacity that is idle beside services; no on-demand machine is provisioned or kept for
+/// it. Returns false once the job is starving.
+bool uses_best_effort_capacity_only(const store::JobRecord& job, const Context& context);
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_lifecycle.cpp
+++ b/src/coordination/scheduling/gang_lifecycle.cpp
@@ -30,7 +30,7 @@
   for (auto& placement : job.placed) placement.stopping = true;
 }
 
-void spread_stop(JobRecord& job) {
+void stop_all_if_any_stopping(JobRecord& job) {
   if (any_stopping(job)) end_attempt(job);
 }
 
--- a/src/coordination/scheduling/gang_lifecycle.h
+++ b/src/coordination/scheduling/gang_lifecycle.h
@@ -31,7 +31,7 @@
 
 /// Marks all members of a gang as stopping if one of them is: the progress of a gang is saved only
 /// if all members are told to stop in time.
-void spread_stop(store::JobRecord& job);
+void stop_all_if_any_stopping(store::JobRecord& job);
 
 /// Returns the grace period in seconds that is sent with a member's stop command. It is 0 once a
 /// member of a gang is missing: the progress can't be saved any more, and the other members would
--- a/src/coordination/scheduling/gang_reservation.cpp
+++ b/src/coordination/scheduling/gang_reservation.cpp
@@ -23,7 +23,7 @@
   for (const auto& machine : future_capacity) {
     const bool allowed = (!zone || machine.zone == *zone) &&
                          (!gang.zone || machine.zone == *gang.zone) &&
-                         type_allowed(gang, machine.type) && kind_allowed(gang, machine.spot);
+                         type_allowed(gang, machine.type) && spot_allowed(gang, machine.spot);
     const uint32_t capacity = allowed ? tasks_that_fit(gang, machine.free) : 0;
     if (capacity > 0) capacities.emplace_back(capacity, &machine);
   }
--- a/src/coordination/scheduling/gang_reservation_table.cpp
+++ b/src/coordination/scheduling/gang_reservation_table.cpp
@@ -10,7 +10,7 @@
 constexpr double kGangReservationSeconds = 120;
 }  // namespace
 
-const GangReservation* GangReservationTable::reservation_against(const ShardJob& job) const {
+const GangReservation* GangReservationTable::reservation_excluding(const ShardJob& job) const {
   const auto it = reservations_.find(job.shard);
   return it != reservations_.end() && it->second.excludes(job.desired.spec) ? &it->second : nullptr;
 }
@@ -31,7 +31,7 @@
       !within_quota(gang))
     return;
   auto machines = machines_to_reserve(spec, future_capacity(gang.shard), context_.settings.zones,
-                                      limits_.most_new_machines());
+                                      limits_.max_new_machines_per_write());
   if (machines.empty()) return;
   context_.counters["gang_holds"]++;
   context_.info("gang_reservation_made job=" + spec.id +
@@ -54,8 +54,8 @@
   for (const auto& [id, machine] : state_.machines()) {
     const auto* durable = state_cache_.machine(id);
     const auto* type = durable ? state_cache_.type(durable->record.type) : nullptr;
-    if (machine.shard != shard || !type || !durable->record.usable() || !machine.known ||
-        machine.quarantined() || !state_.sends_heartbeats(machine))
+    if (machine.shard != shard || !type || !durable->record.usable() ||
+        !machine.heartbeat_received || machine.quarantined() || !state_.sends_heartbeats(machine))
       continue;
     const auto& record = durable->record;
     FutureCapacity capacity{id, record.zone, record.type, record.spot, type->size};
--- a/src/coordination/scheduling/gang_reservation_table.h
+++ b/src/coordination/scheduling/gang_reservation_table.h
@@ -23,7 +23,7 @@
         limits_(limits) {}
 
   /// Returns the reservation on whose machines this job must not be placed; null: there is none.
-  const GangReservation* reservation_against(const ShardJob& job) const;
+  const GangReservation* reservation_excluding(const ShardJob& job) const;
   /// Reserves machines of the gang's shard if the shard has no reservation, none has just expired
   /// there without effect, and the gang is within its team's quota.
   void reserve_for(const ShardJob& gang);
--- a/src/coordination/scheduling/gang_scheduler.cpp
+++ b/src/coordination/scheduling/gang_scheduler.cpp
@@ -9,9 +9,9 @@
 namespace rushtrestle::coordination {
 
 namespace {
-size_t count_machines(const PlannedRoom& planned_room) {
+size_t count_machines(const PlannedPlacements& planned_placements) {
   std::set<std::string> machines;
-  for (const auto& [machine, room] : planned_room) machines.insert(machine);
+  for (const auto& [machine, room] : planned_placements) machines.insert(machine);
   return machines.size();
 }
 }  // namespace
@@ -26,13 +26,13 @@
   const uint32_t missing_tasks = record.spec.tasks - static_cast<uint32_t>(record.placed.size());
   // This check says nothing about the placement class: a smaller gang of the same class may fit
   // into its record where this gang does not.
-  if (limits_.room_in_record(record) < missing_tasks) return false;
-  const PlannedRoom planned_room = find_room(gang, missing_tasks, slots);
-  if (planned_room.empty()) {
+  if (limits_.max_new_placements(record) < missing_tasks) return false;
+  const PlannedPlacements planned_placements = find_room(gang, missing_tasks, slots);
+  if (planned_placements.empty()) {
     if (queue_order_.group_of(record) == QueueGroup::starving) reservations_.reserve_for(gang);
     return false;
   }
-  bind_all(gang, planned_room, slots);
+  bind_all(gang, planned_placements, slots);
   return true;
 }
 
@@ -43,7 +43,7 @@
 bool GangScheduler::all_members_gathering(const ShardJob& gang) {
   const auto reported_as_waiting = [&](const store::Placement& placement) {
     const ShardMachine* machine = state_.find_machine(placement.machine);
-    return machine && machine->known && state_.sends_heartbeats(*machine) &&
+    return machine && machine->heartbeat_received && state_.sends_heartbeats(*machine) &&
            std::any_of(machine->reported.begin(), machine->reported.end(),
                        [&](const ReportedTask& reported) {
                          return reported.job == gang.desired.spec.id &&
@@ -59,35 +59,37 @@
 // A gang is placed in one write with a condition for each machine. If the best slots are on more
 // machines than one transaction can hold conditions for, the gang is packed on as few machines as
 // possible; otherwise a gang would wait for ever in a fleet with little free room on each machine.
-PlannedRoom GangScheduler::find_room(const ShardJob& gang, uint32_t missing_tasks,
-                                     std::vector<Slot>& slots) const {
-  auto best = slot_finder_.room_for_whole(gang, slots);
+PlannedPlacements GangScheduler::find_room(const ShardJob& gang, uint32_t missing_tasks,
+                                           std::vector<Slot>& slots) const {
+  auto best = slot_finder_.find_room_for_all_tasks(gang, slots);
   if (!best) return {};
-  if (count_machines(*best) <= limits_.most_new_machines()) return std::move(*best);
-  if (gang.desired.spec.spread || reservations_.reservation_against(gang)) return {};
+  if (count_machines(*best) <= limits_.max_new_machines_per_write()) return std::move(*best);
+  if (gang.desired.spec.spread || reservations_.reservation_excluding(gang)) return {};
   return find_room_on_few_machines(gang, missing_tasks, slots);
 }
 
 // Packs the missing tasks on as few machines as possible. Empty: they need more machines than one
 // transaction can hold conditions for, or don't fit.
-PlannedRoom GangScheduler::find_room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
-                                                     const std::vector<Slot>& slots) const {
+PlannedPlacements GangScheduler::find_room_on_few_machines(const ShardJob& gang,
+                                                           uint32_t missing_tasks,
+                                                           const std::vector<Slot>& slots) const {
   store::JobSpec spec = gang.desired.spec;
   const ZoneCounts zones = zones_of(gang.desired, state_cache_);
   for (const auto& zone : context_.settings.zones) {
     if (spec.one_zone && !zone_allowed(gang.desired.spec, zone, zones)) continue;
     if (spec.one_zone) spec.zone = zone;
-    PlannedRoom packed = bin_pack(spec, missing_tasks, slots, gang.avoid);
-    if (!packed.empty() && count_machines(packed) <= limits_.most_new_machines()) return packed;
+    PlannedPlacements packed = bin_pack(spec, missing_tasks, slots, gang.avoid);
+    if (!packed.empty() && count_machines(packed) <= limits_.max_new_machines_per_write())
+      return packed;
     if (!spec.one_zone) break;
   }
   return {};
 }
 
-void GangScheduler::bind_all(ShardJob& gang, const PlannedRoom& planned_room,
+void GangScheduler::bind_all(ShardJob& gang, const PlannedPlacements& planned_placements,
                              std::vector<Slot>& slots) {
   uint32_t task = next_pending_task(gang.desired, 0);
-  for (const auto& [machine, room] : planned_room) {
+  for (const auto& [machine, room] : planned_placements) {
     state_.bind(gang, task, machine);
     for (auto& slot : slots) {
       if (slot.machine != machine) continue;
--- a/src/coordination/scheduling/gang_scheduler.h
+++ b/src/coordination/scheduling/gang_scheduler.h
@@ -33,11 +33,12 @@
 
  private:
   bool all_members_gathering(const ShardJob& gang);
-  PlannedRoom find_room(const ShardJob& gang, uint32_t missing_tasks,
-                        std::vector<Slot>& slots) const;
-  PlannedRoom find_room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
-                                        const std::vector<Slot>& slots) const;
-  void bind_all(ShardJob& gang, const PlannedRoom& planned_room, std::vector<Slot>& slots);
+  PlannedPlacements find_room(const ShardJob& gang, uint32_t missing_tasks,
+                              std::vector<Slot>& slots) const;
+  PlannedPlacements find_room_on_few_machines(const ShardJob& gang, uint32_t missing_tasks,
+                                              const std::vector<Slot>& slots) const;
+  void bind_all(ShardJob& gang, const PlannedPlacements& planned_placements,
+                std::vector<Slot>& slots);
 
   Context& context_;
   const store::StateCache& state_cache_;
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -11,8 +11,8 @@
 constexpr double kUnlimitedTasks = 1e9;  // Tasks on a machine if a task takes no resources.
 }  // namespace
 
-void ImageCaches::used(const std::string& machine, const std::string& image, double gb,
-                       double cache_gb) {
+void ImageCaches::record_use(const std::string& machine, const std::string& image, double gb,
+                             double cache_gb) {
   auto& cache = machines_[machine];
   const ImageId id = ids_.emplace(image, static_cast<ImageId>(ids_.size())).first->second;
   const auto it = std::find_if(cache.begin(), cache.end(),
@@ -30,7 +30,7 @@
   cache.push_back({id, gb});
 }
 
-const ImageCaches::Cache* ImageCaches::of(const std::string& machine) const {
+const ImageCaches::Cache* ImageCaches::cache_of(const std::string& machine) const {
   const auto it = machines_.find(machine);
   return it == machines_.end() ? nullptr : &it->second;
 }
@@ -49,10 +49,10 @@
 }  // namespace
 
 bool ImageCaches::has(const std::string& machine, const std::string& image) const {
-  return holds(of(machine), id(image));
+  return holds(cache_of(machine), id(image));
 }
 
-void keep_headroom_for(CapacityHeadroom& headroom, const JobSpec& spec, double tasks) {
+void add_to_headroom(CapacityHeadroom& headroom, const JobSpec& spec, double tasks) {
   if (spec.per_task.gpus <= 0 || spec.spot) return;
   headroom.gpus += spec.per_task.gpus * tasks;
   headroom.gpus_per_task = std::max(headroom.gpus_per_task, spec.per_task.gpus);
@@ -75,7 +75,7 @@
   return true;
 }
 
-bool kind_allowed(const JobSpec& spec, bool spot) { return !spot || spec.spot; }
+bool spot_allowed(const JobSpec& spec, bool spot) { return !spot || spec.spot; }
 
 std::string placement_shape(const JobSpec& spec) {
   std::string shape = std::to_string(spec.per_task.cpus) + "|" +
@@ -156,8 +156,8 @@
   if (slot.empty) score += 3;
   // Short work stays apart from work that may not be preempted, so that whole machines can be
   // reassigned.
-  if (spec.spot && !slot.spot && slot.pinned) score += 10;
-  if (!spec.spot && !slot.pinned) score += 2;
+  if (spec.spot && !slot.spot && slot.has_non_preemptible) score += 10;
+  if (!spec.spot && !slot.has_non_preemptible) score += 2;
   return score;
 }
 
@@ -165,12 +165,12 @@
 /// Sets the GPUs that each slot keeps free, so that the headroom exists or, where there is too
 /// little room, comes to exist as work ends. The headroom is assigned to the few machines with the
 /// most usable GPUs: spread over all machines it would never have room for a large task.
-void assign_headroom(std::vector<Slot>& slots, const Fit& fit) {
+void assign_headroom(std::vector<Slot>& slots, const PlacementConstraints& constraints) {
   std::vector<std::pair<double, Slot*>> candidates;
   for (auto& slot : slots) {
     slot.headroom_gpus = 0;
-    if (headroom_gpus_on(slot, 0, fit.reserve, fit.cpu_per_gpu))
-      candidates.emplace_back(usable_gpus(slot.free, fit.cpu_per_gpu), &slot);
+    if (headroom_gpus_on(slot, 0, constraints.headroom, constraints.cpu_per_gpu))
+      candidates.emplace_back(usable_gpus(slot.free, constraints.cpu_per_gpu), &slot);
   }
   // The headroom takes few of many machines, so a heap is cheaper than sorting all of them.
   // Machines with equally many usable GPUs are taken in the order of the slots.
@@ -178,11 +178,12 @@
     return a.first != b.first ? a.first < b.first : a.second > b.second;
   };
   std::make_heap(candidates.begin(), candidates.end(), lower_priority);
-  double left = fit.reserve.gpus;
+  double left = constraints.headroom.gpus;
   for (auto end = candidates.end(); left > 0 && end != candidates.begin(); --end) {
     std::pop_heap(candidates.begin(), end, lower_priority);
     Slot* slot = (end - 1)->second;
-    slot->headroom_gpus = headroom_gpus_on(*slot, left, fit.reserve, fit.cpu_per_gpu).value_or(0);
+    slot->headroom_gpus =
+        headroom_gpus_on(*slot, left, constraints.headroom, constraints.cpu_per_gpu).value_or(0);
     left -= slot->headroom_gpus;
   }
 }
@@ -240,26 +241,30 @@
 }
 
 Slot* select_slot(const JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots,
-                  const Fit& fit) {
-  const bool headroom_applies = fit.reserve.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
-  if (headroom_applies) assign_headroom(slots, fit);
+                  const PlacementConstraints& constraints) {
+  const bool headroom_applies =
+      constraints.headroom.gpus > 0 && (spec.per_task.gpus == 0 || spec.spot);
+  if (headroom_applies) assign_headroom(slots, constraints);
   AllowedCache types, zones;
-  const auto image = fit.images ? fit.images->id(spec.image) : std::nullopt;
+  const auto image = constraints.images ? constraints.images->id(spec.image) : std::nullopt;
   Slot* best = nullptr;
   double best_score = 0;
   for (auto& slot : slots) {
-    if (!spec.per_task.fits(slot.free) || !kind_allowed(spec, slot.spot) ||
-        (fit.spot_only && !slot.spot) || (fit.idle_room_only && !slot.spot && !slot.pinned) ||
+    if (!spec.per_task.fits(slot.free) || !spot_allowed(spec, slot.spot) ||
+        (constraints.spot_only && !slot.spot) ||
+        (constraints.best_effort_capacity_only && !slot.spot && !slot.has_non_preemptible) ||
         !types(slot.type, [&] { return type_allowed(spec, slot.type->name); }) ||
         !zones(slot.zone, [&] { return zone_allowed(spec, *slot.zone, placed); }))
       continue;
-    if (fit.avoid && !fit.avoid->empty() && fit.avoid->count(slot.machine)) continue;
-    if (fit.reserved_for_others && fit.reserved_for_others->count(slot.machine)) continue;
-    if (!fit.strand_gpus && strands_gpus(spec, slot, fit.cpu_per_gpu)) continue;
-    if (headroom_applies && !keeps_headroom(spec, slot, fit.cpu_per_gpu)) continue;
+    if (constraints.avoid && !constraints.avoid->empty() && constraints.avoid->count(slot.machine))
+      continue;
+    if (constraints.reserved_for_others && constraints.reserved_for_others->count(slot.machine))
+      continue;
+    if (!constraints.may_strand_gpus && strands_gpus(spec, slot, constraints.cpu_per_gpu)) continue;
+    if (headroom_applies && !keeps_headroom(spec, slot, constraints.cpu_per_gpu)) continue;
     double score = placement_score(spec, slot);
-    if (fit.images && !holds(slot.images, image))
-      score = add_fetch_cost(score, spec, slot, fit.start_within_s);
+    if (constraints.images && !holds(slot.images, image))
+      score = add_fetch_cost(score, spec, slot, constraints.start_within_s);
     if (!best || score < best_score) {
       best = &slot;
       best_score = score;
@@ -273,7 +278,7 @@
                                                                const std::set<std::string>& avoid) {
   std::vector<std::pair<uint32_t, const Slot*>> capacities;  // Tasks that fit on each slot.
   for (const auto& slot : slots) {
-    const bool allowed = kind_allowed(spec, slot.spot) && type_allowed(spec, slot.type->name) &&
+    const bool allowed = spot_allowed(spec, slot.spot) && type_allowed(spec, slot.type->name) &&
                          (!spec.zone || *spec.zone == *slot.zone) && !avoid.count(slot.machine);
     if (!allowed) continue;
     uint32_t capacity = 0;
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -27,11 +27,11 @@
 
   /// Records that a task on the machine uses the image, and evicts the least recently used images
   /// that no longer fit into `cache_gb`.
-  void used(const std::string& machine, const std::string& image, double gb, double cache_gb);
+  void record_use(const std::string& machine, const std::string& image, double gb, double cache_gb);
   bool has(const std::string& machine, const std::string& image) const;
   /// Returns null if no image is known to be on the machine. The pointer is valid until `forget` is
   /// called for the machine.
-  const Cache* of(const std::string& machine) const;
+  const Cache* cache_of(const std::string& machine) const;
   std::optional<ImageId> id(const std::string& image) const;
   void forget(const std::string& machine) { machines_.erase(machine); }
 
@@ -47,8 +47,8 @@
   const std::string* zone = nullptr;
   bool spot = false;
   store::Resources free;
-  bool empty = true;    // No task is placed on the machine.
-  bool pinned = false;  // The machine holds work that may not be preempted.
+  bool empty = true;                 // No task is placed on the machine.
+  bool has_non_preemptible = false;  // The machine holds work that may not be preempted.
   const ImageCaches::Cache* images = nullptr;
   double headroom_gpus = 0;  // GPUs kept free for the headroom; set by `select_slot`.
 };
@@ -68,23 +68,23 @@
 };
 
 /// Adds waiting or expected tasks to the headroom, if they need GPUs and can't use spot machines.
-void keep_headroom_for(CapacityHeadroom& headroom, const store::JobSpec& spec, double tasks);
+void add_to_headroom(CapacityHeadroom& headroom, const store::JobSpec& spec, double tasks);
 
 /// Constraints of one placement search beside those in the job's description.
-struct Fit {
+struct PlacementConstraints {
   /// CPUs that tasks with GPUs take for each GPU; as many are kept free for each free GPU.
   double cpu_per_gpu = 0;
   const ImageCaches* images = nullptr;
   const std::set<std::string>* avoid = nullptr;  // Machines on which tasks of this job failed.
   const std::set<std::string>* reserved_for_others = nullptr;  // Machines kept for another job.
   /// Tasks without GPUs may take the CPUs that free GPUs need.
-  bool strand_gpus = false;
+  bool may_strand_gpus = false;
   /// Restricts jobs without GPUs and jobs that may use spot machines.
-  CapacityHeadroom reserve = {};
+  CapacityHeadroom headroom = {};
   /// Set for jobs that can wait, so that they leave on-demand machines to jobs that need them.
   bool spot_only = false;
   /// Allows only spot machines and machines that hold work that may not be preempted.
-  bool idle_room_only = false;
+  bool best_effort_capacity_only = false;
   /// Seconds after its submission by which the job should run by its objective; 0: it has no such
   /// objective, or has missed it.
   double start_within_s = 0;
@@ -94,7 +94,7 @@
 /// Returns whether one more task of the job may go to this zone, given those already placed.
 bool zone_allowed(const store::JobSpec& spec, const std::string& zone, const ZoneCounts& placed);
 /// Returns whether the job may use spot machines (`spot`) or on-demand machines; the latter always.
-bool kind_allowed(const store::JobSpec& spec, bool spot);
+bool spot_allowed(const store::JobSpec& spec, bool spot);
 
 /// Returns a key of the resources that a task takes and of where it may run. Tasks with the same
 /// key fit on the same machines.
@@ -131,7 +131,7 @@
 
 /// Returns the best slot for one more task of the job, or null if it fits nowhere.
 Slot* select_slot(const store::JobSpec& spec, const ZoneCounts& placed, std::vector<Slot>& slots,
-                  const Fit& fit);
+                  const PlacementConstraints& constraints);
 
 /// Places `tasks` tasks on as few machines as possible. Returns the machine and the resources for
 /// each task, or an empty list if the tasks don't all fit. Ignores the rule to spread over zones.
--- a/src/coordination/scheduling/placement_limits.cpp
+++ b/src/coordination/scheduling/placement_limits.cpp
@@ -36,7 +36,7 @@
 // A stored record must stay below `value_kb` (KB). This limits the number of tasks placed at once
 // and, as the lowest tasks start first, also the number of gaps in the set of done tasks. The end
 // of a task adds less to the record than its placement took.
-uint32_t PlacementLimits::room_in_record(const store::JobRecord& record) const {
+uint32_t PlacementLimits::max_new_placements(const store::JobRecord& record) const {
   const uint32_t tasks = record.spec.tasks;
   const size_t placement_size =
       kPunctuationBytes + digits(tasks) + longest_machine_id_ + digits(record.attempts + tasks);
@@ -46,7 +46,7 @@
   return record.placed.empty() ? 1 : 0;  // A job with a long description runs one task at a time.
 }
 
-size_t PlacementLimits::most_new_machines() const {
+size_t PlacementLimits::max_new_machines_per_write() const {
   return static_cast<size_t>(
       std::max(1, context_.settings.txn_ops * kConditionsPerOperation - kOtherConditions));
 }
--- a/src/coordination/scheduling/placement_limits.h
+++ b/src/coordination/scheduling/placement_limits.h
@@ -17,15 +17,15 @@
   PlacementLimits(const Context& context, const ShardState& state)
       : context_(context), state_(state) {}
 
-  /// Must be called at the start of each scheduling pass: `room_in_record` assumes that each
+  /// Must be called at the start of each scheduling pass: `max_new_placements` assumes that each
   /// machine's id is as long as the longest one of the pass.
   void measure_machine_ids();
   /// Returns how many more placements the stored record can hold.
-  uint32_t room_in_record(const store::JobRecord& record) const;
+  uint32_t max_new_placements(const store::JobRecord& record) const;
   /// Returns on how many machines that are new to the job one write can place tasks. Each placement
   /// is conditioned on its machine's record, and a transaction takes at most four conditions per
   /// operation, two of which are on the job's and the shard's keys.
-  size_t most_new_machines() const;
+  size_t max_new_machines_per_write() const;
 
  private:
   const Context& context_;
--- a/src/coordination/scheduling/preemptor_reservations.cpp
+++ b/src/coordination/scheduling/preemptor_reservations.cpp
@@ -16,8 +16,9 @@
 }
 
 void PreemptorReservations::expire(double now) {
-  std::erase_if(reservations_,
-                [&](const PreemptorReservation& reservation) { return now > reservation.until; });
+  std::erase_if(reservations_, [&](const PreemptorReservation& reservation) {
+    return now > reservation.expires_at;
+  });
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/preemptor_reservations.h
+++ b/src/coordination/scheduling/preemptor_reservations.h
@@ -12,7 +12,7 @@
   std::string job;  // The preempting job.
   std::string machine;
   store::Resources room;
-  double until = 0;  // Steady time in seconds at which the reservation expires.
+  double expires_at = 0;  // Steady time in seconds at which the reservation expires.
 };
 
 class PreemptorReservations {
--- a/src/coordination/scheduling/scheduler.cpp
+++ b/src/coordination/scheduling/scheduler.cpp
@@ -55,13 +55,13 @@
     if (per_task.gpus > 0)
       conditions.cpu_per_gpu = std::max(conditions.cpu_per_gpu, per_task.cpus / per_task.gpus);
   }
-  for (const auto& forecast : arrival_forecast_.expected(shard))
-    keep_headroom_for(conditions.headroom, forecast.shape,
-                      forecast.jobs * static_cast<double>(forecast.shape.tasks));
+  for (const auto& forecast : arrival_forecast_.expected_arrivals(shard))
+    add_to_headroom(conditions.headroom, forecast.shape,
+                    forecast.jobs * static_cast<double>(forecast.shape.tasks));
   for (const ShardJob* job : queue) {
     const auto& record = job->desired;
-    conditions.production_waits |= !state_.preemptible(record);
-    keep_headroom_for(
+    conditions.non_preemptible_job_waits |= !state_.preemptible(record);
+    add_to_headroom(
         conditions.headroom, record.spec,
         record.spec.tasks - record.done.size() - static_cast<double>(record.placed.size()));
   }
@@ -94,13 +94,13 @@
 // for a machine to boot.
 void Scheduler::set_aside_forecast_capacity(int shard, double cpu_per_gpu,
                                             std::vector<Slot>& open_slots) const {
-  Fit fit;
-  fit.cpu_per_gpu = cpu_per_gpu;
-  for (const auto& forecast : arrival_forecast_.expected(shard))
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = cpu_per_gpu;
+  for (const auto& forecast : arrival_forecast_.expected_arrivals(shard))
     for (int i = 0; i < forecast.jobs; ++i) {
       ZoneCounts zones;
       for (uint32_t task = 0; task < forecast.shape.tasks; ++task) {
-        Slot* slot = select_slot(forecast.shape, zones, open_slots, fit);
+        Slot* slot = select_slot(forecast.shape, zones, open_slots, constraints);
         if (!slot) break;
         slot->free.add(forecast.shape.per_task, -1);
         zones[*slot->zone]++;
@@ -162,31 +162,31 @@
   const auto& spec = record.spec;
   ZoneCounts zones = zones_of(record, state_cache_);
   // The limit is computed only after a slot was found, as most waiting jobs find none.
-  std::optional<uint32_t> room_in_record;
+  std::optional<uint32_t> max_new_placements;
   // A write that places tasks on too many machines is refused as malformed; without this limit, a
   // large array was refused and then held back for a lease duration, repeatedly. The tasks that
   // need more machines than one write allows are placed with the next write.
-  const size_t max_machines = limits_.most_new_machines();
+  const size_t max_machines = limits_.max_new_machines_per_write();
   std::set<std::string> machines_to_write = machines_of_unwritten_placements(job);
-  const size_t max_placed = failures_.on_probation(job) ? 1 : spec.tasks;
+  const size_t max_placed = failures_.limited_to_one_task(job) ? 1 : spec.tasks;
   bool any_placed = false;
   bool no_room = false;
   for (uint32_t task = next_pending_task(record, 0);
-       task < spec.tasks && room_in_record != 0U && record.placed.size() < max_placed;
+       task < spec.tasks && max_new_placements != 0U && record.placed.size() < max_placed;
        task = next_pending_task(record, task + 1)) {
     if (!quotas_.within_quota(spec.team, spec.per_task)) break;
     Slot* slot = slot_finder_.select_slot_for(job, zones, slots);
     no_room = slot == nullptr;
     if (no_room) break;
-    if (!room_in_record) room_in_record = limits_.room_in_record(record);
-    if (*room_in_record == 0) break;
+    if (!max_new_placements) max_new_placements = limits_.max_new_placements(record);
+    if (*max_new_placements == 0) break;
     if (!machines_to_write.count(slot->machine) && machines_to_write.size() >= max_machines) break;
     machines_to_write.insert(slot->machine);
     state_.bind(job, task, slot->machine);
     slot->free.add(spec.per_task, -1);
     slot->empty = false;
     zones[*slot->zone]++;
-    --*room_in_record;
+    --*max_new_placements;
     any_placed = true;
   }
   if (!any_placed) return no_room ? Outcome::no_room : Outcome::nothing_placed;
--- a/src/coordination/scheduling/slot_finder.h
+++ b/src/coordination/scheduling/slot_finder.h
@@ -15,13 +15,13 @@
 namespace rushtrestle::coordination {
 
 /// Machine and resources for each task of a job that would be placed.
-using PlannedRoom = std::vector<std::pair<std::string, store::Resources>>;
+using PlannedPlacements = std::vector<std::pair<std::string, store::Resources>>;
 
 /// Conditions that apply to all searches until the next scheduling pass.
 struct PassConditions {
-  double cpu_per_gpu = 0;         // The most CPUs per GPU that a task of any job takes.
-  CapacityHeadroom headroom;      // GPU capacity kept free for work that can't use spot machines.
-  bool production_waits = false;  // A job that may not be preempted waits.
+  double cpu_per_gpu = 0;     // The most CPUs per GPU that a task of any job takes.
+  CapacityHeadroom headroom;  // GPU capacity kept free for work that can't use spot machines.
+  bool non_preemptible_job_waits = false;  // A job that may not be preempted waits.
 };
 
 /// Returns the number of the job's placed tasks in each zone.
@@ -54,13 +54,14 @@
                         std::vector<Slot>& slots) const;
   /// Returns where all missing tasks of the job would go; none: they don't all fit. Leaves the
   /// slots as they were.
-  std::optional<PlannedRoom> room_for_whole(const ShardJob& job, std::vector<Slot>& slots) const;
+  std::optional<PlannedPlacements> find_room_for_all_tasks(const ShardJob& job,
+                                                           std::vector<Slot>& slots) const;
 
  private:
   bool accepts_tasks(const ShardMachine& machine, const store::MachineRecord& record) const;
-  Fit placement_request_for(const ShardJob& job) const;
-  std::optional<PlannedRoom> room_for_missing_tasks(const ShardJob& job, ZoneCounts zones,
-                                                    std::vector<Slot>& slots) const;
+  PlacementConstraints placement_constraints_for(const ShardJob& job) const;
+  std::optional<PlannedPlacements> room_for_missing_tasks(const ShardJob& job, ZoneCounts zones,
+                                                          std::vector<Slot>& slots) const;
 
   const Context& context_;
   const store::StateCache& state_cache_;
--- a/src/coordination/scheduling/slot_index.h
+++ b/src/coordination/scheduling/slot_index.h
@@ -27,20 +27,20 @@
 class SlotIndex {
  public:
   /// Position of a slot in the order of addition.
-  using Place = size_t;
+  using SlotNumber = size_t;
 
   /// Removes all slots. `cpu_per_gpu`: CPUs that a task with GPUs takes for each GPU.
   void reset(double cpu_per_gpu);
-  Place add(const Slot& slot);
+  SlotNumber add(const Slot& slot);
   size_t size() const { return slots_.size(); }
-  const Slot& at(Place place) const { return slots_[place]; }
+  const Slot& at(SlotNumber slot_number) const { return slots_[slot_number]; }
 
   /// Returns the best slot for one more task of the job, or none. `fit.cpu_per_gpu` must equal the
   /// argument of `reset`.
-  std::optional<Place> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
-                                   const Fit& fit);
+  std::optional<SlotNumber> select_slot(const store::JobSpec& spec, const ZoneCounts& placed,
+                                        const PlacementConstraints& constraints);
   /// Places a task that takes these resources on the slot.
-  void take(Place place, const store::Resources& room);
+  void place_task(SlotNumber slot_number, const store::Resources& room);
 
   /// Returns the number of groups and slots visited so far. Tests use it to check how the work
   /// grows.
@@ -53,15 +53,15 @@
   void undo_to(size_t changes);
 
  private:
-  /// The fields are: type, zone, spot, empty, pinned, free GPUs.
+  /// The fields are: type, zone, spot, empty, has_non_preemptible, free GPUs.
   using GroupKey =
       std::tuple<const store::MachineType*, const std::string*, bool, bool, bool, double>;
   struct Group {
-    std::set<std::pair<double, Place>> by_cpus;  // Sorted by free CPUs.
-    std::set<Place> places;
+    std::set<std::pair<double, SlotNumber>> by_cpus;  // Sorted by free CPUs.
+    std::set<SlotNumber> slot_numbers;
   };
   struct Change {
-    Place place = 0;
+    SlotNumber slot_number = 0;
     bool added = false;
     store::Resources free_before = {};
     bool empty_before = true;
@@ -69,9 +69,9 @@
   /// On-demand slots with the same number of usable GPUs.
   struct UsableGpuGroup {
     // This tree finds the n-th slot in logarithmic time.
-    __gnu_pbds::tree<Place, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
+    __gnu_pbds::tree<SlotNumber, __gnu_pbds::null_type, std::less<>, __gnu_pbds::rb_tree_tag,
                      __gnu_pbds::tree_order_statistics_node_update>
-        places;
+        slot_numbers;
     std::map<double, size_t> by_gpus;  // Number of slots for each amount of free GPUs.
   };
   /// Slots to which the headroom is assigned: all slots with more usable GPUs than `last_usable`,
@@ -81,22 +81,22 @@
     bool valid = false;
     CapacityHeadroom headroom;
     double last_usable = 0;
-    Place end = 0;
-    std::map<Place, double> partial;
+    SlotNumber end = 0;
+    std::map<SlotNumber, double> partial;
   };
 
   static GroupKey key_of(const Slot& slot);
-  void insert(Place place);
-  void erase(Place place);
+  void insert(SlotNumber slot_number);
+  void erase(SlotNumber slot_number);
   void assign_headroom(const CapacityHeadroom& headroom);
   void assign_last_headroom(const CapacityHeadroom& headroom, double left,
                             std::map<double, UsableGpuGroup, std::greater<>>::const_iterator group);
-  double headroom_on(Place place) const;
-  bool keeps_headroom(Place place, const store::JobSpec& spec) const;
-  std::optional<Place> best_with_gpus(const Group& group, const store::JobSpec& spec,
-                                      bool headroom_applies) const;
-  std::optional<Place> best_without_gpus(const Group& group, const store::JobSpec& spec,
-                                         double min_cpus, bool headroom_applies) const;
+  double headroom_on(SlotNumber slot_number) const;
+  bool keeps_headroom(SlotNumber slot_number, const store::JobSpec& spec) const;
+  std::optional<SlotNumber> best_with_gpus(const Group& group, const store::JobSpec& spec,
+                                           bool headroom_applies) const;
+  std::optional<SlotNumber> best_without_gpus(const Group& group, const store::JobSpec& spec,
+                                              double min_cpus, bool headroom_applies) const;
 
   double cpu_per_gpu_ = 0;
   std::deque<Slot> slots_;
--- a/src/coordination/shard/command_dispatcher.cpp
+++ b/src/coordination/shard/command_dispatcher.cpp
@@ -60,7 +60,7 @@
   // A worker that has not seen the current fencing token still accepts commands of a former shard
   // leader.
   const bool token_not_seen =
-      machine.known && machine.highest_token_seen < state_.fencing_token(machine);
+      machine.heartbeat_received && machine.highest_token_seen < state_.fencing_token(machine);
   if (reconciled.commands.empty() && !machine.dispatch_wanted && !token_not_seen) return;
   send_commands(machine, std::move(reconciled));
 }
@@ -113,7 +113,7 @@
     machine.unacknowledged_start = std::max(machine.unacknowledged_start, sent.fencing_token);
   if (machine.commands_failing_since == 0) {
     machine.commands_failing_since = context_.now;
-    machine.epoch_when_unreachable = machine.agent_epoch;
+    machine.epoch_when_commands_failed = machine.agent_epoch;
   }
   machine.next_dispatch = context_.now + context_.jitter(context_.tunables.probe_every_s);
   machine.dispatch_wanted = true;
--- a/src/coordination/shard/failure_attribution.cpp
+++ b/src/coordination/shard/failure_attribution.cpp
@@ -14,7 +14,7 @@
 MachineVerdict classify_machine(const std::vector<FailedJob>& failed) {
   const auto counted_jobs = std::count_if(
       failed.begin(), failed.end(), [](const FailedJob& job) { return !fails_everywhere(job); });
-  if (counted_jobs < Tunables::kFaultyJobs) return MachineVerdict::healthy;
+  if (counted_jobs < Tunables::kMinFailedJobs) return MachineVerdict::healthy;
   const bool any_known_good = std::any_of(failed.begin(), failed.end(),
                                           [](const FailedJob& job) { return job.known_good; });
   return any_known_good ? MachineVerdict::faulty : MachineVerdict::suspect;
--- a/src/coordination/shard/failure_tracker.cpp
+++ b/src/coordination/shard/failure_tracker.cpp
@@ -19,12 +19,12 @@
   job.failed_on.insert(machine.id);
   job.avoid.insert(machine.id);
   job.avoid_until = context_.now + context_.settings.lease_s * 2;
-  judge(machine);
+  update_verdict(machine);
   if (!fails_everywhere({known_good(job), job.failed_on.size()})) return;
   back_off(job);
   // The job is at fault, so its failures no longer count against the machines where they happened.
   for (const auto& id : job.failed_on)
-    if (ShardMachine* other = state_.find_machine(id)) judge(*other);
+    if (ShardMachine* other = state_.find_machine(id)) update_verdict(*other);
 }
 
 // A job's tasks fail concurrently, so failures during the backoff don't raise the backoff level.
@@ -44,12 +44,12 @@
 }
 
 // Retrying one task at a time bounds the cost of an array that fails everywhere.
-bool FailureTracker::on_probation(const ShardJob& job) const {
+bool FailureTracker::limited_to_one_task(const ShardJob& job) const {
   return job.desired.spec.kind == JobKind::array &&
          fails_everywhere({known_good(job), job.failed_on.size()});
 }
 
-void FailureTracker::judge(ShardMachine& machine) {
+void FailureTracker::update_verdict(ShardMachine& machine) {
   std::vector<FailedJob> failed;
   for (const auto& id : machine.failed_jobs) {
     const ShardJob* job = state_.find_job(id);
--- a/src/coordination/shard/failure_tracker.h
+++ b/src/coordination/shard/failure_tracker.h
@@ -21,9 +21,9 @@
   /// that has run for a worker lease.
   bool known_good(const ShardJob& job) const;
   /// Returns true for an array that fails everywhere, which is retried with one task at a time.
-  bool on_probation(const ShardJob& job) const;
+  bool limited_to_one_task(const ShardJob& job) const;
   /// Recomputes the machine's verdict, which decides whether the machine is quarantined.
-  void judge(ShardMachine& machine);
+  void update_verdict(ShardMachine& machine);
 
  private:
   void back_off(ShardJob& job);
--- a/src/coordination/shard/heartbeat_handler.cpp
+++ b/src/coordination/shard/heartbeat_handler.cpp
@@ -23,24 +23,25 @@
 
 void HeartbeatHandler::handle_forwarded_heartbeat(RequestId request, const Heartbeat& heartbeat) {
   context_.counters["relayed_reports"]++;
-  context_.out.push_back(
+  context_.effects.push_back(
       AnswerForwardedHeartbeat{request, respond(heartbeat, HeartbeatSource::other_controller)});
 }
 
 void HeartbeatHandler::answer(RequestId request, HeartbeatResponse&& response) {
-  context_.out.push_back(AnswerHeartbeat{request, std::move(response)});
+  context_.effects.push_back(AnswerHeartbeat{request, std::move(response)});
 }
 
 // A worker that has seen its shard leader's fencing token and still sends its heartbeat here can't
 // reach the leader. This controller forwards the heartbeat to the leader and passes its answer
-// back, as if the worker had sent it directly. After `tunables.forward_s` seconds of this, the
-// worker is redirected to the leader again. Without forwarding, in a partition between two zones or
-// around a controller that lost contact with its workers, a worker that was redirected to a leader
-// that it can't reach lost its lease and all its tasks, though other controllers reached both.
+// back, as if the worker had sent it directly. After `tunables.redirect_retry_s` seconds of this,
+// the worker is redirected to the leader again. Without forwarding, in a partition between two
+// zones or around a controller that lost contact with its workers, a worker that was redirected to
+// a leader that it can't reach lost its lease and all its tasks, though other controllers reached
+// both.
 bool HeartbeatHandler::forward(RequestId request, Heartbeat& heartbeat) {
   const auto* durable = state_cache_.machine(heartbeat.machine);
   if (!durable || durable->record.terminating() ||
-      membership_.shard_token(durable->record.shard) != 0)
+      membership_.shard_fencing_token(durable->record.shard) != 0)
     return false;
   const std::string shard_leader = membership_.shard_leader(durable->record.shard);
   if (shard_leader.empty() || shard_leader == context_.settings.node ||
@@ -51,7 +52,7 @@
   const std::string address = membership_.address_of(shard_leader);
   if (address.empty()) return redirect_to_relay_peer(request, heartbeat, shard_leader);
   const auto since = forwarding_since_.emplace(heartbeat.machine, context_.now).first;
-  if (context_.now - since->second > context_.tunables.forward_s) {
+  if (context_.now - since->second > context_.tunables.redirect_retry_s) {
     forwarding_since_.erase(since);
     return false;
   }
@@ -129,13 +130,13 @@
   // none can acquire a shard or accept or cancel a job. While all controllers report the outage and
   // the earlier cancellations are known from them, the worker's lease is renewed under the worker's
   // own fencing token, so that its tasks go on.
-  if (!state_store_.synced() && membership_.outage_shared() &&
+  if (!state_store_.synced() && membership_.all_peers_lack_state_store() &&
       membership_.may_renew_while_disconnected())
     return renew_under_worker_token(heartbeat);
   if (!durable || durable->record.terminating()) return {};
   const int shard = durable->record.shard;
   ShardMachine* machine = state_.find_machine(heartbeat.machine);
-  if (!machine || membership_.shard_token(shard) == 0) {
+  if (!machine || membership_.shard_fencing_token(shard) == 0) {
     const std::string shard_leader = membership_.shard_leader(shard);
     if (shard_leader.empty() || shard_leader == context_.settings.node) return {};
     return redirect_to(shard_leader);
@@ -168,18 +169,18 @@
 // Peers need this for the machines that they are responsible for, so machines of the shards that
 // this controller leads are left out. With those included, the messages between controllers grew
 // with the fleet and cost as much processor time as the workers' heartbeats.
-std::vector<std::string> HeartbeatHandler::machines_heard_of_other_shards() const {
+std::vector<std::string> HeartbeatHandler::recent_machines_of_other_shards() const {
   std::vector<std::string> heard;
   for (const auto& [id, heard_at] : last_heard_at_) {
     const auto machine = state_.machines().find(id);
-    const bool led_here =
-        machine != state_.machines().end() && membership_.shard_token(machine->second.shard) != 0;
+    const bool led_here = machine != state_.machines().end() &&
+                          membership_.shard_fencing_token(machine->second.shard) != 0;
     if (!led_here && context_.now - heard_at < context_.tunables.probe_after_s) heard.push_back(id);
   }
   return heard;
 }
 
-void HeartbeatHandler::forget_old() {
+void HeartbeatHandler::remove_expired_entries() {
   std::erase_if(last_heard_at_, [&](const auto& heard) {
     return context_.now - heard.second > context_.settings.lease_s;
   });
--- a/src/coordination/shard/heartbeat_handler.h
+++ b/src/coordination/shard/heartbeat_handler.h
@@ -38,9 +38,9 @@
   void handle_forwarded_heartbeat(RequestId request, const Heartbeat& heartbeat);
   /// Returns the machines that sent heartbeats here in the last `probe_after_s` seconds although
   /// this controller does not lead their shard.
-  std::vector<std::string> machines_heard_of_other_shards() const;
+  std::vector<std::string> recent_machines_of_other_shards() const;
   /// Removes entries of machines whose last heartbeat here is more than a worker lease old.
-  void forget_old();
+  void remove_expired_entries();
 
  private:
   enum class HeartbeatSource { worker, other_controller };
--- a/src/coordination/shard/heartbeat_intake.cpp
+++ b/src/coordination/shard/heartbeat_intake.cpp
@@ -35,8 +35,8 @@
     return false;
   log_inconsistencies(heartbeat);
   clear_unacknowledged_start(machine, heartbeat);
-  if (!machine.known) state_.request_scheduling();
-  machine.known = true;
+  if (!machine.heartbeat_received) state_.request_scheduling();
+  machine.heartbeat_received = true;
   machine.agent_epoch = heartbeat.agent_epoch;
   machine.sequence = heartbeat.sequence;
   machine.highest_token_seen = std::max(machine.highest_token_seen, heartbeat.fencing_token);
--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -13,9 +13,9 @@
 void JobRecordWriter::enqueue(const std::string& id, WriteCause cause) {
   ShardJob* job = state_.find_job(id);
   if (!job) return;
-  spread_stop(job->desired);
+  stop_all_if_any_stopping(job->desired);
   ++job->desired_version;
-  state_store_.write_metrics().change(cause);
+  state_store_.write_metrics().record_change(cause);
   const WritePriority priority = priority_of(cause);
   if (job->queued_priority && *job->queued_priority <= priority) return;
   job->queued_priority = priority;
@@ -24,7 +24,7 @@
   request.cause = cause;
   request.rank = job->desired.spec.rank;
   request.team = job->desired.spec.team;
-  request.prepare = [this, id](Prepared& prepared) { return prepare(id, prepared); };
+  request.prepare = [this, id](PreparedWrite& prepared) { return prepare(id, prepared); };
   request.done = [this, id](WriteOutcome outcome, uint64_t mod_revision) {
     on_written(id, outcome, mod_revision);
   };
@@ -45,28 +45,28 @@
   for (const auto& id : changed) enqueue(id, WriteCause::stop);
 }
 
-bool JobRecordWriter::prepare(const std::string& id, Prepared& prepared) {
+bool JobRecordWriter::prepare(const std::string& id, PreparedWrite& prepared) {
   ShardJob* job = state_.find_job(id);
   if (!job) return false;
   job->queued_priority.reset();
   const auto* durable = state_cache_.job(id);
-  const uint64_t shard_token = membership_.shard_token(job->shard);
-  if (!job->dirty() || !durable || shard_token == 0) return false;
+  const uint64_t shard_fencing_token = membership_.shard_fencing_token(job->shard);
+  if (!job->dirty() || !durable || shard_fencing_token == 0) return false;
   job->prepared_version = job->desired_version;
   // A durable final status never changes, so it overrides what was decided here since.
   if (durable->record.final_state()) job->desired.status = durable->record.status;
   state_.update_pending(*job);
-  prepared.expected = durable->mod_revision;
+  prepared.expected_mod_revision = durable->mod_revision;
   prepared.value = to_json(job->desired);
   // A record that is too large for the state store is written once enough of its tasks have ended.
-  if (state_store_.refuses(*prepared.value)) return false;
-  prepared.preconditions.push_back({store::shard_key(job->shard), shard_token});
+  if (state_store_.will_be_refused(*prepared.value)) return false;
+  prepared.preconditions.push_back({store::shard_key(job->shard), shard_fencing_token});
   add_preconditions(*job, durable->record, prepared);
   return true;
 }
 
 void JobRecordWriter::add_preconditions(const ShardJob& job, const store::JobRecord& durable,
-                                        Prepared& prepared) const {
+                                        PreparedWrite& prepared) const {
   const auto must_be_unchanged = [&](const std::string& key) {
     prepared.preconditions.push_back({key, state_cache_.mod_revision_of(key)});
   };
@@ -96,7 +96,7 @@
   job = state_.find_job(id);
   if (!job) return;
   queue_commands_for(*job);
-  if (outcome == WriteOutcome::unsettled) supersede_unsettled_write(*job, mod_revision);
+  if (outcome == WriteOutcome::indeterminate) supersede_indeterminate_write(*job, mod_revision);
 }
 
 void JobRecordWriter::on_applied(const std::string& id, ShardJob& job) {
@@ -115,8 +115,8 @@
 // record ran on while the late write placed them elsewhere. Either write changes the mod revision,
 // so only one of the two can be applied. Until then no task of the job is started
 // (TaskReconciler::start_missing_tasks).
-void JobRecordWriter::supersede_unsettled_write(ShardJob& job, uint64_t mod_revision) {
-  job.unsettled_revision = mod_revision;
+void JobRecordWriter::supersede_indeterminate_write(ShardJob& job, uint64_t mod_revision) {
+  job.indeterminate_revision = mod_revision;
   enqueue(job.desired.spec.id, WriteCause::placement);
 }
 
--- a/src/coordination/shard/job_record_writer.h
+++ b/src/coordination/shard/job_record_writer.h
@@ -37,12 +37,12 @@
   void drop_deleted_placements(const std::string& id);
 
  private:
-  bool prepare(const std::string& id, Prepared& prepared);
+  bool prepare(const std::string& id, PreparedWrite& prepared);
   void add_preconditions(const ShardJob& job, const store::JobRecord& durable,
-                         Prepared& prepared) const;
+                         PreparedWrite& prepared) const;
   void on_written(const std::string& id, WriteOutcome outcome, uint64_t mod_revision);
   void on_applied(const std::string& id, ShardJob& job);
-  void supersede_unsettled_write(ShardJob& job, uint64_t mod_revision);
+  void supersede_indeterminate_write(ShardJob& job, uint64_t mod_revision);
   void queue_commands_for(ShardJob& job);
 
   Context& context_;
--- a/src/coordination/shard/machine_health.cpp
+++ b/src/coordination/shard/machine_health.cpp
@@ -36,7 +36,7 @@
 }
 
 void MachineHealth::mark_for_deletion(ShardMachine& machine, const std::string& reason) {
-  if (machine.marking_for_deletion || !may_act(state_store_)) return;
+  if (machine.marking_for_deletion || !can_commit_decisions(state_store_)) return;
   machine.marking_for_deletion = true;
   context_.counters["machines_condemned"]++;
   context_.info("machine_marked_for_deletion machine=" + machine.id + " reason=" + reason);
@@ -52,7 +52,7 @@
   if (!durable || durable->record.terminating()) return;
   // The jobs that failed on the machine may have become known good or been cancelled meanwhile,
   // which can change the verdict.
-  if (machine.verdict == MachineVerdict::suspect) failures_.judge(machine);
+  if (machine.verdict == MachineVerdict::suspect) failures_.update_verdict(machine);
   if (proven_faulty(machine) && machine.placed.empty()) {
     mark_for_deletion(machine, "faulty");
   } else if (machine.address.empty()) {
@@ -72,10 +72,10 @@
 void MachineHealth::check_boot_timeout(ShardMachine& machine, const MachineRecord& durable) {
   const auto* type = state_cache_.type(durable.type);
   const double boot_timeout_s =
-      (type ? type->boot_s : context_.settings.lease_s) * Tunables::kBootPatience +
+      (type ? type->boot_s : context_.settings.lease_s) * Tunables::kBootTimeoutFactor +
       context_.settings.lease_s;
   if (context_.wall - durable.since > boot_timeout_s &&
-      context_.now - machine.since > context_.settings.lease_s)
+      context_.now - machine.responsible_since > context_.settings.lease_s)
     mark_for_deletion(machine, "never_came_up");
 }
 
@@ -122,14 +122,14 @@
 
 // Whether the machine is cut off from this controller but not from its peers. Its worker gets the
 // answers to the heartbeats that peers forward: otherwise its lease would end, and its agent epoch
-// would change. No new task can be started on it, so this holds for `forward_limit_s` at most. A
-// gap of one lease between forwarded heartbeats is allowed, as a worker's attempt to reach this
+// would change. No new task can be started on it, so this holds for `forward_only_limit_s` at most.
+// A gap of one lease between forwarded heartbeats is allowed, as a worker's attempt to reach this
 // controller directly takes most of a lease.
 bool MachineHealth::reached_through_peers(const ShardMachine& machine,
                                           const Reachability& reachability) const {
   return context_.now - machine.forwarded_at < context_.settings.lease_s &&
-         machine.agent_epoch == machine.epoch_when_unreachable &&
-         reachability.unreachable_s < context_.tunables.forward_limit_s;
+         machine.agent_epoch == machine.epoch_when_commands_failed &&
+         reachability.unreachable_s < context_.tunables.forward_only_limit_s;
 }
 
 // A machine that a peer hears, or many machines of its zone silent at once, point to a fault of the
@@ -137,7 +137,8 @@
 bool MachineHealth::suspected_partition(const ShardMachine& machine,
                                         const Reachability& reachability) const {
   const bool not_heard = reachability.silent || reachability.reaches_no_controller;
-  return correlated_silence(machine) || (not_heard && membership_.peer_hears(machine.id));
+  return correlated_silence(machine) ||
+         (not_heard && membership_.any_peer_hears_machine(machine.id));
 }
 
 bool MachineHealth::deletion_budget_left() {
--- a/src/coordination/shard/machine_record_writer.cpp
+++ b/src/coordination/shard/machine_record_writer.cpp
@@ -13,7 +13,7 @@
   WriteRequest request;
   request.key = store::machine_key(id);
   request.cause = cause;
-  request.prepare = [this, id, change = std::move(change)](Prepared& prepared) {
+  request.prepare = [this, id, change = std::move(change)](PreparedWrite& prepared) {
     return prepare_change(id, change, prepared);
   };
   request.done = [this, id](WriteOutcome, uint64_t) {
@@ -33,7 +33,7 @@
   WriteRequest request;
   request.key = store::machine_key(queued.id);
   request.cause = WriteCause::machine_address;
-  request.prepare = [this, id = queued.id](Prepared& prepared) {
+  request.prepare = [this, id = queued.id](PreparedWrite& prepared) {
     ShardMachine* machine = state_.find_machine(id);
     if (!machine) return false;
     machine->address_queued = false;
@@ -49,18 +49,18 @@
 }
 
 bool MachineRecordWriter::prepare_change(const std::string& id, const Change& change,
-                                         Prepared& prepared) const {
+                                         PreparedWrite& prepared) const {
   const auto* durable = state_cache_.machine(id);
   if (!state_.find_machine(id) || !durable || durable->record.terminating()) return false;
   // The change may move the machine to another shard; until it is durable, the machine belongs to
   // this one.
   const int shard = durable->record.shard;
-  const uint64_t shard_token = membership_.shard_token(shard);
+  const uint64_t shard_fencing_token = membership_.shard_fencing_token(shard);
   MachineRecord record = durable->record;
-  if (shard_token == 0 || !change(record)) return false;
-  prepared.expected = durable->mod_revision;
+  if (shard_fencing_token == 0 || !change(record)) return false;
+  prepared.expected_mod_revision = durable->mod_revision;
   prepared.value = to_json(record);
-  prepared.preconditions.push_back({store::shard_key(shard), shard_token});
+  prepared.preconditions.push_back({store::shard_key(shard), shard_fencing_token});
   return true;
 }
 
--- a/src/coordination/shard/machine_record_writer.h
+++ b/src/coordination/shard/machine_record_writer.h
@@ -37,7 +37,7 @@
   /// Prepares the write of the changed record, conditioned on the durable record and the shard's
   /// key. Returns false if this controller does not lead the machine's shard, the machine is
   /// terminating, or there is nothing to write.
-  bool prepare_change(const std::string& id, const Change& change, Prepared& prepared) const;
+  bool prepare_change(const std::string& id, const Change& change, PreparedWrite& prepared) const;
 
   store::StateCache& state_cache_;
   StateStoreClient& state_store_;
--- a/src/coordination/shard/shard_controller.cpp
+++ b/src/coordination/shard/shard_controller.cpp
@@ -67,7 +67,7 @@
     const auto* machine = state_cache_.machine(placement.machine);
     const auto* type = machine ? state_cache_.type(machine->record.type) : nullptr;
     if (!type) continue;
-    images_.used(placement.machine, record.spec.image, record.spec.image_gb, type->cache_gb);
+    images_.record_use(placement.machine, record.spec.image, record.spec.image_gb, type->cache_gb);
   }
 }
 
@@ -150,7 +150,7 @@
     reassignment_.answer_reassignment(*machine);
     if (machine->dispatch_wanted) dispatch_queue_.add(id);
   }
-  heartbeats_.forget_old();
+  heartbeats_.remove_expired_entries();
   preemptor_reservations_.expire(context_.now);
   state_.request_scheduling();
 }
@@ -160,7 +160,7 @@
     next_health_check_ = context_.now + context_.settings.heartbeat_interval_s / 4;
     check_machines();
   }
-  if (context_.now >= next_scan_ && may_act(state_store_)) {
+  if (context_.now >= next_scan_ && can_commit_decisions(state_store_)) {
     next_scan_ = context_.now + context_.housekeeping_every(context_.operators.scan_period_s);
     for (const int shard : state_.shards()) requeue_.scan(shard);
   }
@@ -168,7 +168,7 @@
 
 double ShardController::next_due() const {
   double due = next_health_check_;
-  if (may_act(state_store_)) {
+  if (can_commit_decisions(state_store_)) {
     due = std::min(due, next_scan_);
     if (state_.scheduling_requested()) due = std::min(due, next_schedule_);
   }
@@ -177,11 +177,11 @@
 
 void ShardController::work() {
   const bool scheduling_due = state_.scheduling_requested() && context_.now >= next_schedule_;
-  if (scheduling_due && may_act(state_store_)) {
+  if (scheduling_due && can_commit_decisions(state_store_)) {
     state_.clear_scheduling_request();
     next_schedule_ = context_.now + context_.settings.heartbeat_interval_s / 50;
     for (const int shard : state_.shards())
-      if (membership_.shard_token(shard) != 0) scheduler_.schedule(shard);
+      if (membership_.shard_fencing_token(shard) != 0) scheduler_.schedule(shard);
     for (const auto& id : std::exchange(state_.jobs_that_lost_tasks(), {}))
       job_writer_.enqueue(id, WriteCause::placement);
   }
--- a/src/coordination/shard/shard_job.h
+++ b/src/coordination/shard/shard_job.h
@@ -20,7 +20,7 @@
   double first_placed_at = 0;
   double last_placed_at = 0;
   double first_written_at = 0;
-  double whole_at = 0;
+  double all_running_at = 0;
   /// Number of tasks placed on machines that were not known to have their image.
   uint32_t image_fetches = 0;
 };
@@ -39,7 +39,7 @@
   bool dirty() const { return desired_version != durable_version; }
   /// Mod revision of the record for which a write by this controller got no answer: until the mod
   /// revision changes, the state store may still apply that write. 0: none.
-  uint64_t unsettled_revision = 0;
+  uint64_t indeterminate_revision = 0;
   /// Priority of the job's write that waits in the queue; none: no write waits.
   std::optional<WritePriority> queued_priority;
 
--- a/src/coordination/shard/shard_machine.h
+++ b/src/coordination/shard/shard_machine.h
@@ -24,10 +24,10 @@
   std::string id;
   int shard = 0;
   /// When this controller became responsible for the machine.
-  double since = 0;
+  double responsible_since = 0;
 
   // What the worker reported.
-  bool known = false;  // this controller has applied a heartbeat of the worker
+  bool heartbeat_received = false;  // this controller has applied a heartbeat of the worker
   uint64_t agent_epoch = 0;
   uint64_t sequence = 0;
   uint64_t highest_token_seen = 0;
@@ -58,7 +58,7 @@
   /// When commands began to fail; 0: the last command was answered.
   double commands_failing_since = 0;
   /// The worker's agent epoch when commands began to fail.
-  uint64_t epoch_when_unreachable = 0;
+  uint64_t epoch_when_commands_failed = 0;
   /// Fencing token of a start command that was not answered: the worker may carry it out minutes
   /// later, as long as it has seen no token above this one. 0: none.
   uint64_t unacknowledged_start = 0;
--- a/src/coordination/shard/shard_state.cpp
+++ b/src/coordination/shard/shard_state.cpp
@@ -27,7 +27,7 @@
 }
 
 uint64_t ShardState::fencing_token(const ShardMachine& machine) const {
-  return std::max(membership_.shard_token(machine.shard),
+  return std::max(membership_.shard_fencing_token(machine.shard),
                   state_cache_.mod_revision_of(store::machine_key(machine.id)));
 }
 
@@ -68,7 +68,7 @@
   ShardMachine& machine = machines_[id];
   machine.id = id;
   machine.shard = shard;
-  machine.since = context_.now;
+  machine.responsible_since = context_.now;
   machine.last_seen = context_.now;
   machine.last_heartbeat = context_.now;
   if (const auto it = tasks_by_machine_.find(id); it != tasks_by_machine_.end()) {
@@ -126,7 +126,7 @@
   if (record.spec.image_gb < 0) return;
   const auto* durable = state_cache_.machine(machine);
   const auto* type = durable ? state_cache_.type(durable->record.type) : nullptr;
-  images_.used(machine, record.spec.image, record.spec.image_gb, type ? type->cache_gb : 0);
+  images_.record_use(machine, record.spec.image, record.spec.image_gb, type ? type->cache_gb : 0);
 }
 
 void ShardState::count_placement(const JobRecord& record, const Placement& placement) {
--- a/src/coordination/shard/shard_state.h
+++ b/src/coordination/shard/shard_state.h
@@ -20,7 +20,7 @@
 
 /// Whether this controller holds its state store lease and reaches the store, so that its decisions
 /// can become durable.
-inline bool may_act(const StateStoreClient& state_store) {
+inline bool can_commit_decisions(const StateStoreClient& state_store) {
   return state_store.lease_valid() && !state_store.disconnected();
 }
 
--- a/src/coordination/shard/task_reconciler.cpp
+++ b/src/coordination/shard/task_reconciler.cpp
@@ -34,7 +34,7 @@
 
 WorkerCommands TaskReconciler::reconcile(ShardMachine& machine) {
   WorkerCommands result;
-  if (!machine.known) return result;
+  if (!machine.heartbeat_received) return result;
   std::set<TaskKey> present;
   for (const auto& reported : machine.reported) {
     const TaskKey key{reported.job, reported.task};
@@ -117,7 +117,7 @@
   const bool absence_is_proof = no_earlier_start_can_arrive(machine) && !machine.command_in_flight;
   // No task is started on a machine that reaches no controller, even if commands reach it: the
   // worker's lease would soon expire and end the task.
-  const bool may_start = may_act(state_store_) && state_.sends_heartbeats(machine);
+  const bool may_start = can_commit_decisions(state_store_) && state_.sends_heartbeats(machine);
   std::vector<TaskKey> gone;
   for (const auto& [key, attempt] : machine.placed) {
     if (present.count(key)) continue;
@@ -131,7 +131,7 @@
     if (job->desired.status != JobStatus::open || placement->stopping) {
       if (absence_is_proof) gone.push_back(key);
     } else if (may_start && durable->record.status == JobStatus::open &&
-               durable->mod_revision != job->unsettled_revision) {
+               durable->mod_revision != job->indeterminate_revision) {
       result.commands.push_back({WorkerVerb::start, key.first, key.second, attempt, 0});
       result.has_start = true;
     }
@@ -185,7 +185,7 @@
     for (uint32_t member = 0; member < job.desired.spec.tasks; ++member) done.insert(member);
   state_.update_pending(job);
   machine.failed_jobs.clear();
-  failures_.judge(machine);
+  failures_.update_verdict(machine);
   job.failed_on.clear();
   job.backoff_level = 0;
 }
@@ -196,10 +196,10 @@
 void TaskReconciler::log_first_run(ShardJob& job) {
   FirstRunTimes& times = job.first_run;
   const store::JobRecord& record = job.desired;
-  if (times.adopted_at == 0 || times.whole_at != 0 ||
+  if (times.adopted_at == 0 || times.all_running_at != 0 ||
       record.running() + record.done.size() < record.spec.tasks)
     return;
-  times.whole_at = context_.now;
+  times.all_running_at = context_.now;
   if (!context_.logs(LogLine::Level::debug)) return;
   const auto to_ms = [](double seconds) {
     return std::to_string(static_cast<int>(seconds * 1000));
--- a/src/coordination/state/list_and_watch.cpp
+++ b/src/coordination/state/list_and_watch.cpp
@@ -29,12 +29,12 @@
   double due = kNoDueTime;
   if (!synced_ && !listing_) due = std::min(due, next_list_attempt_);
   if (synced_ && !watching_)
-    due = std::min(due, std::max(next_watch_, budgets_.watches().above_at(0, context_.now)));
+    due = std::min(due, std::max(next_watch_, budgets_.watches().time_above(0, context_.now)));
   return due;
 }
 
-void ListAndWatch::confirm_current_at(double sent_at) {
-  current_at_ = std::max(current_at_, sent_at);
+void ListAndWatch::confirm_cache_current_as_of(double sent_at) {
+  cache_current_as_of_ = std::max(cache_current_as_of_, sent_at);
 }
 
 void ListAndWatch::apply(const std::vector<store::Change>& changes) {
@@ -131,7 +131,7 @@
   state_cache_.reached(list_->watched_revision);
   listing_ = false;
   synced_ = true;
-  current_at_ = std::max(current_at_, list_->began_at);
+  cache_current_as_of_ = std::max(cache_current_as_of_, list_->began_at);
   list_.reset();
   context_.info("state_cache_listed revision=" + std::to_string(state_cache_.revision()));
   if (on_cache_advanced) on_cache_advanced();
@@ -143,7 +143,7 @@
   watching_ = true;
   budgets_.watches().take(1);
   const double sent_at = context_.now;
-  const double hold_s = context_.tunables.watch_hold_s;
+  const double hold_s = context_.tunables.watch_timeout_s;
   context_.call(Watch{state_cache_.revision(), hold_s},
                 hold_s + context_.settings.heartbeat_interval_s,
                 [this, sent_at](CallDone&& done) { on_watch_returned(sent_at, done); });
@@ -165,7 +165,7 @@
   connectivity_.on_success(sent_at);
   apply(reply->events);
   state_cache_.reached(reply->revision);
-  current_at_ = std::max(current_at_, sent_at);
+  cache_current_as_of_ = std::max(cache_current_as_of_, sent_at);
   if (on_cache_advanced) on_cache_advanced();
 }
 
--- a/src/coordination/state/list_and_watch.h
+++ b/src/coordination/state/list_and_watch.h
@@ -37,10 +37,10 @@
   /// Returns a steady time in seconds, or kLongAgo if unknown; the state cache holds every write
   /// made before that time. This is stricter than the time of the last contact, as other requests
   /// may succeed while watches do not return.
-  double current_at() const { return current_at_; }
+  double cache_current_as_of() const { return cache_current_as_of_; }
   /// Records that, by a linearizable read, the cache holds every write made before the steady time
   /// `sent_at`, at which the read was sent.
-  void confirm_current_at(double sent_at);
+  void confirm_cache_current_as_of(double sent_at);
 
   /// Called when a list or a watch has brought the cache to a newer revision.
   std::function<void()> on_cache_advanced;
@@ -78,7 +78,7 @@
   bool synced_ = false;
   bool watching_ = false;
   double next_watch_ = 0;
-  double current_at_ = kLongAgo;
+  double cache_current_as_of_ = kLongAgo;
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/state/read_barrier.cpp
+++ b/src/coordination/state/read_barrier.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 double ReadBarriers::step_timeout_s() const {
-  return context_.tunables.poll_wait_s * kStepTimeoutShare;
+  return context_.tunables.query_timeout_s * kStepTimeoutShare;
 }
 
 void ReadBarriers::tick() {
@@ -30,7 +30,7 @@
 double ReadBarriers::next_due() {
   double due = kNoDueTime;
   if (!not_sent_.empty() && !read_in_flight_)
-    due = std::min(due, budgets_.barrier_reads().above_at(0, context_.now));
+    due = std::min(due, budgets_.barrier_reads().time_above(0, context_.now));
   for (const auto& barrier : barriers_) due = std::min(due, barrier.deadline);
   return due;
 }
@@ -71,7 +71,7 @@
     // The cache now holds everything that was durable when the read was sent. An open watch only
     // shows this once it returns, which it does not during an outage. Without this confirmation,
     // the controller stopped answering workers some seconds earlier than necessary.
-    if (passed) list_and_watch_.confirm_current_at(barriers_[i].sent_at);
+    if (passed) list_and_watch_.confirm_cache_current_as_of(barriers_[i].sent_at);
     auto waiting = std::move(barriers_[i].waiting);
     barriers_.erase(barriers_.begin() + static_cast<long>(i));
     for (auto& continuation : waiting) continuation(passed);
--- a/src/coordination/state/request_budgets.cpp
+++ b/src/coordination/state/request_budgets.cpp
@@ -6,14 +6,14 @@
 
 void RequestBudgets::set_share(double share) {
   share_ = share;
-  const double requests_per_second = settings_.state_rps * Tunables::kBudget * share;
+  const double requests_per_second = settings_.state_rps * Tunables::kRateLimitShare * share;
   watches_.set_rate(requests_per_second * Tunables::kWatchShare);
   barrier_reads_.set_rate(requests_per_second * Tunables::kBarrierShare);
   transactions_.set_rate(requests_per_second * Tunables::kTxnShare);
   const double rate_in_force = write_rate_limited_
                                    ? std::min(settings_.next_write_rps, settings_.state_write_rps)
                                    : settings_.state_write_rps;
-  writes_per_second_ = rate_in_force * Tunables::kBudget * share;
+  writes_per_second_ = rate_in_force * Tunables::kRateLimitShare * share;
   writes_.set_rate(writes_per_second_);
 }
 
@@ -26,7 +26,7 @@
 }
 
 double RequestBudgets::time_writes_above(double floor, double now) {
-  return std::max(transactions_.above_at(floor, now), writes_.above_at(floor, now));
+  return std::max(transactions_.time_above(floor, now), writes_.time_above(floor, now));
 }
 
 void RequestBudgets::take_transaction(size_t writes) {
--- a/src/coordination/state/state_store_client.h
+++ b/src/coordination/state/state_store_client.h
@@ -51,22 +51,26 @@
   /// Returns the steady time in seconds at which the latest successful request was sent.
   double last_contact() const { return connectivity_.last_contact(); }
   /// Returns a steady time in seconds; the state cache holds every write made before that time.
-  double current_at() const { return list_and_watch_.current_at(); }
-  bool ever_synced() const { return current_at() > kLongAgo; }
+  double cache_current_as_of() const { return list_and_watch_.cache_current_as_of(); }
+  bool ever_synced() const { return cache_current_as_of() > kLongAgo; }
 
   /// Returns the number of writes that only wait for budget.
   double backlog() const { return write_pipeline_.backlog(); }
   /// Returns the fraction of all controllers' write budget that this controller needs.
-  double need() { return write_pipeline_.needed_budget_share(); }
+  double needed_budget_share() { return write_pipeline_.needed_budget_share(); }
   /// Sets this controller's share of the whole request budget, between 0 and 1.
-  void set_weight(double share_of_budget) { budgets_.set_share(share_of_budget); }
+  void set_budget_share(double share_of_budget) { budgets_.set_share(share_of_budget); }
   /// Returns the seconds that the acceptance of a job of this rank would wait in the queue now.
-  double accept_delay(store::Rank rank) const { return write_pipeline_.accept_delay(rank); }
+  double acceptance_delay_s(store::Rank rank) const {
+    return write_pipeline_.acceptance_delay_s(rank);
+  }
   /// Returns true if the value exceeds the lower of the current and the announced value size limit.
   bool oversized(const store::Json& value) const { return write_pipeline_.oversized(value); }
   /// Returns true if the value is oversized and the state store has refused an oversized value
   /// before, which shows that the announced limit is in force.
-  bool refuses(const store::Json& value) const { return write_pipeline_.refuses(value); }
+  bool will_be_refused(const store::Json& value) const {
+    return write_pipeline_.will_be_refused(value);
+  }
 
   WriteMetrics& write_metrics() { return write_pipeline_.metrics(); }
   /// Returns the section of `/stats` about writes.
--- a/src/coordination/state/write_pipeline.cpp
+++ b/src/coordination/state/write_pipeline.cpp
@@ -27,7 +27,7 @@
       lease_keeper_(lease_keeper),
       budgets_(budgets),
       queue_(context.tunables, context.operators),
-      demand_(context.tunables.demand_memory_s),
+      demand_(context.tunables.write_demand_half_life_s),
       outcome_lookup_(context, state_cache, connectivity) {
   outcome_lookup_.on_key_read = [this](const std::string& key) { keys_in_flight_.erase(key); };
 }
@@ -46,14 +46,14 @@
 
 double WritePipeline::needed_budget_share() {
   constexpr double kBurstMargin = 1.25;  // allows for uneven arrival of writes
-  const double whole_budget = context_.settings.state_write_rps * Tunables::kBudget;
+  const double whole_budget = context_.settings.state_write_rps * Tunables::kRateLimitShare;
   return (demand_.writes_per_second(context_.now) * kBurstMargin +
-          backlog() / context_.tunables.drain_s) /
+          backlog() / context_.tunables.backlog_drain_s) /
          whole_budget;
 }
 
 // While writes of lower priorities are overdue, acceptances only get their share of the write rate.
-double WritePipeline::accept_delay(store::Rank rank) const {
+double WritePipeline::acceptance_delay_s(store::Rank rank) const {
   constexpr double kMinRate = 0.1;  // writes per second; keeps the delay finite at a rate of 0
   const size_t requests_before = queue_.waiting_before(WritePriority::request, rank);
   const double rate = budgets_.writes_per_second() *
@@ -66,7 +66,7 @@
   return store::stored_size(value) > static_cast<size_t>(context_.settings.value_kb * kBytesPerKb);
 }
 
-bool WritePipeline::refuses(const store::Json& value) const {
+bool WritePipeline::will_be_refused(const store::Json& value) const {
   return oversized_value_refused_ && oversized(value);
 }
 
@@ -160,7 +160,7 @@
   demand_.record(writes.size(), context_.now);
   ++transactions_in_flight_;
   const double sent_at = context_.now;
-  context_.call(batch.to_transaction(), context_.tunables.poll_wait_s,
+  context_.call(batch.to_transaction(), context_.tunables.query_timeout_s,
                 [this, sent_at, writes](CallDone&& done) { on_returned(writes, sent_at, done); });
 }
 
--- a/src/coordination/state/write_pipeline.h
+++ b/src/coordination/state/write_pipeline.h
@@ -46,12 +46,12 @@
   /// its recent write rate and to drain its backlog.
   double needed_budget_share();
   /// Returns the seconds that the acceptance of a job of this rank would wait in the queue now.
-  double accept_delay(store::Rank rank) const;
+  double acceptance_delay_s(store::Rank rank) const;
   /// Returns true if the value exceeds the lower of the current and the announced value size limit.
   bool oversized(const store::Json& value) const;
   /// Returns true if the value is oversized and the state store has refused an oversized value
   /// before, which shows that the announced limit is in force.
-  bool refuses(const store::Json& value) const;
+  bool will_be_refused(const store::Json& value) const;
 
   WriteMetrics& metrics() { return metrics_; }
   /// Returns the section of `/stats` about writes.
--- a/src/coordination/state/writes/outcome_lookup.cpp
+++ b/src/coordination/state/writes/outcome_lookup.cpp
@@ -35,7 +35,7 @@
 
 void OutcomeLookup::look_up(const QueuedWritePtr& write) {
   const double sent_at = context_.now;
-  context_.call(ReadKey{write->request.key}, context_.tunables.poll_wait_s,
+  context_.call(ReadKey{write->request.key}, context_.tunables.query_timeout_s,
                 [this, sent_at, write](CallDone&& done) {
                   const auto* reply = std::get_if<KeyReply>(&done.reply);
                   const bool answered = done.status == response_status::kOk ||
@@ -69,8 +69,8 @@
     return;
   }
   // While the key is still at the expected mod revision, a delayed write may yet be applied.
-  const bool may_still_apply = mod_revision == write->prepared.expected;
-  write->request.done(may_still_apply ? WriteOutcome::unsettled : WriteOutcome::conflict,
+  const bool may_still_apply = mod_revision == write->prepared.expected_mod_revision;
+  write->request.done(may_still_apply ? WriteOutcome::indeterminate : WriteOutcome::conflict,
                       mod_revision);
 }
 
--- a/src/coordination/state/writes/transaction_batch.cpp
+++ b/src/coordination/state/writes/transaction_batch.cpp
@@ -46,8 +46,8 @@
   Txn transaction;
   std::map<std::string, uint64_t> preconditions;
   for (const auto& write : writes_) {
-    const Prepared& prepared = write->prepared;
-    preconditions[write->request.key] = prepared.expected;
+    const PreparedWrite& prepared = write->prepared;
+    preconditions[write->request.key] = prepared.expected_mod_revision;
     for (const auto& precondition : prepared.preconditions)
       preconditions.emplace(precondition.key, precondition.mod_revision);
     transaction.writes.push_back({write->request.key, prepared.value, prepared.lease});
--- a/src/coordination/state/writes/write_cause.h
+++ b/src/coordination/state/writes/write_cause.h
@@ -17,7 +17,7 @@
   job_done,
   task_end,      // a task ended in a job that continues or was cancelled
   running_mark,  // a task was seen running; recorded for display and as the last start
-  machine_rented,
+  machine_provisioned,
   machine_address,
   machine_reassignment_request,  // the cluster leader asks a shard leader for a machine
   machine_reassignment_answer,   // the shard leader's answer: released, moved or kept
@@ -66,7 +66,7 @@
   switch (cause) {
     case WriteCause::placement:
     case WriteCause::stop:
-    case WriteCause::machine_rented: return WritePriority::placement;
+    case WriteCause::machine_provisioned: return WritePriority::placement;
     case WriteCause::gang_phase:
     case WriteCause::job_done:
     case WriteCause::machine_reassignment_request:
--- a/src/coordination/state/writes/write_metrics.cpp
+++ b/src/coordination/state/writes/write_metrics.cpp
@@ -48,7 +48,7 @@
 WriteMetrics::WriteMetrics() : statistics_(std::make_unique<Statistics>()) {}
 WriteMetrics::~WriteMetrics() = default;
 
-void WriteMetrics::change(WriteCause cause) { ++statistics_->for_cause(cause).changes; }
+void WriteMetrics::record_change(WriteCause cause) { ++statistics_->for_cause(cause).changes; }
 
 void WriteMetrics::record_write(WriteCause cause, double waited_s) {
   auto& cause_statistics = statistics_->for_cause(cause);
--- a/src/coordination/state/writes/write_metrics.h
+++ b/src/coordination/state/writes/write_metrics.h
@@ -31,7 +31,7 @@
   WriteMetrics& operator=(const WriteMetrics&) = delete;
 
   /// Counts a change of a record that has to be written.
-  void change(WriteCause cause);
+  void record_change(WriteCause cause);
   /// Counts a write that was applied, sent `waited_s` seconds after it was first requested.
   void record_write(WriteCause cause, double waited_s);
   /// Sets the stall reason from `now` (steady seconds) on; `writes_per_second` is this controller's
--- a/src/coordination/state/writes/write_queue.cpp
+++ b/src/coordination/state/writes/write_queue.cpp
@@ -31,12 +31,12 @@
 
 WriteQueue::WriteQueue(const Tunables& tunables, const store::OperatorSettings& operators)
     : team_weights_(operators.team_shares.begin(), operators.team_shares.end()) {
-  const double urgent_wait_s = tunables.user_wait_s / 4;
+  const double urgent_wait_s = tunables.write_wait_s / 4;
   subqueues_[index(WritePriority::request)].longest_wait_s = urgent_wait_s;
   subqueues_[index(WritePriority::placement)].longest_wait_s = urgent_wait_s;
   subqueues_[index(WritePriority::completion)].longest_wait_s = urgent_wait_s;
-  subqueues_[index(WritePriority::coalesced)].longest_wait_s = tunables.coalesce_s;
-  subqueues_[index(WritePriority::background)].longest_wait_s = tunables.background_s;
+  subqueues_[index(WritePriority::coalesced)].longest_wait_s = tunables.coalesced_write_delay_s;
+  subqueues_[index(WritePriority::background)].longest_wait_s = tunables.background_write_delay_s;
 }
 
 WriteQueue::OrderKey WriteQueue::order_key_of(const QueuedWrite& write) {
--- a/src/coordination/state/writes/write_request.h
+++ b/src/coordination/state/writes/write_request.h
@@ -17,19 +17,20 @@
 
 enum class WriteOutcome {
   applied,
-  conflict,   // another writer came first; the state cache holds the current value of the key
-  unsettled,  // unanswered and not applied so far; may still be applied while the key keeps its
-              // current mod revision
-  refused,    // the state store does not accept the write
-  skipped     // `prepare` found nothing to write
+  conflict,       // another writer came first; the state cache holds the current value of the key
+  indeterminate,  // unanswered and not applied so far; may still be applied while the key keeps its
+                  // current mod revision
+  refused,        // the state store does not accept the write
+  skipped         // `prepare` found nothing to write
 };
 
 /// The result of `prepare`: a compare-and-swap of one key.
-struct Prepared {
-  uint64_t expected = 0;  // mod revision that the key must have; 0: the key must be absent
+struct PreparedWrite {
+  /// Mod revision that the key must have; 0: the key must be absent.
+  uint64_t expected_mod_revision = 0;
   std::optional<store::Json> value;         // none: the write deletes the key
   uint64_t lease = 0;                       // lease with which the key expires; 0: none
-  std::vector<Precondition> preconditions;  // in addition to `expected`
+  std::vector<Precondition> preconditions;  // in addition to `expected_mod_revision`
 };
 
 /// Field of a stored value that contains the id of the write which stored it.
@@ -41,7 +42,7 @@
   store::Rank rank = store::Rank::production;  // rank of the job that waits for the write
   std::string team;  // team of that job; among equal ranks, writes without a team are sent first
   /// Fills in the write, or returns false if there is nothing to write any more.
-  std::function<bool(Prepared&)> prepare;
+  std::function<bool(PreparedWrite&)> prepare;
   /// Receives the outcome and the current mod revision of the key; 0: unknown or absent.
   std::function<void(WriteOutcome, uint64_t mod_revision)> done;
 };
@@ -49,7 +50,7 @@
 /// A request in the queue or in flight.
 struct QueuedWrite {
   WriteRequest request;
-  Prepared prepared;
+  PreparedWrite prepared;
   std::string writer;       // id of the write, stored with the value to tell whether an unanswered
                             // write was applied
   bool send_alone = false;  // its transaction was refused; sending each write in a transaction of
--- a/src/protocol/peer_codec.cpp
+++ b/src/protocol/peer_codec.cpp
@@ -75,9 +75,9 @@
   Json cancelled = Json::array();
   for (const auto& cancellation : offer.cancellations)
     cancelled.push_back({cancellation.job, cancellation.mod_revision});
-  Json json = position_json(offer.mark);
+  Json json = position_json(offer.end);
   json[kFrom] = offer.from;
-  json[kWhole] = offer.whole;
+  json[kWhole] = offer.complete;
   json[kCancelled] = std::move(cancelled);
   return json;
 }
@@ -90,8 +90,8 @@
         {cancellation.at(0).get<std::string>(), cancellation.at(1).get<uint64_t>()});
     if (!valid_job_id(offer.cancellations.back().job)) fail(kCancelled, "not a job's id");
   }
-  if (offer.from > offer.mark.count) fail(kFrom, "beyond the end");
-  if (offer.cancellations.size() > offer.mark.count - offer.from)
+  if (offer.from > offer.end.count) fail(kFrom, "beyond the end");
+  if (offer.cancellations.size() > offer.end.count - offer.from)
     fail(kCancelled, "more than there are");
   return offer;
 }
@@ -113,7 +113,7 @@
                {kRecordFormat, state.record_format}};
   if (state.budget_need) json[kBudgetNeed] = *state.budget_need;
   if (state.current_age_s) json[kCurrentAgeS] = *state.current_age_s;
-  if (state.acknowledged) json[kAcknowledged] = position_json(*state.acknowledged);
+  if (state.known_cancellations) json[kAcknowledged] = position_json(*state.known_cancellations);
   if (state.offered_cancellations)
     json[kOfferedCancellations] = offer_json(*state.offered_cancellations);
   return json;
@@ -137,7 +137,8 @@
   if (fields.find(kRecordFormat)) state.record_format = fields.count(kRecordFormat);
   if (fields.find(kBudgetNeed)) state.budget_need = fields.amount(kBudgetNeed);
   if (fields.find(kCurrentAgeS)) state.current_age_s = fields.amount(kCurrentAgeS);
-  if (json.contains(kAcknowledged)) state.acknowledged = position_from_json(json[kAcknowledged]);
+  if (json.contains(kAcknowledged))
+    state.known_cancellations = position_from_json(json[kAcknowledged]);
   if (json.contains(kOfferedCancellations))
     state.offered_cancellations = offer_from_json(json[kOfferedCancellations]);
   return state;
@@ -270,7 +271,7 @@
 }
 
 HttpAnswer encode(const AnswerForwardedHeartbeat& answer) {
-  return peer_answer(heartbeat_response_json(answer.reply));
+  return peer_answer(heartbeat_response_json(answer.response));
 }
 
 HttpAnswer encode(const AnswerPeer& answer) { return peer_answer(peer_state_json(answer.state)); }
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -111,7 +111,7 @@
 }
 
 HttpAnswer encode(const AnswerHeartbeat& answer) {
-  const auto& response = answer.reply;
+  const auto& response = answer.response;
   if (response.status == kOk)
     return cbor_answer(kOk, {{kFencingToken, response.fencing_token},
                              {kCommands, commands_json(response.commands)}});
--- a/tests/best_effort_test.cpp
+++ b/tests/best_effort_test.cpp
@@ -116,15 +116,15 @@
   store::JobRecord job;
   job.spec = array_of("job-1", "guest", 1, 10);
   job.submitted = 950;
-  EXPECT_TRUE(takes_idle_room_only(job, context));
+  EXPECT_TRUE(uses_best_effort_capacity_only(job, context));
   job.submitted = 800;  // not begun for long: anywhere
-  EXPECT_FALSE(takes_idle_room_only(job, context));
+  EXPECT_FALSE(uses_best_effort_capacity_only(job, context));
   job.attempts = 1;
-  EXPECT_TRUE(takes_idle_room_only(job, context));
+  EXPECT_TRUE(uses_best_effort_capacity_only(job, context));
   const auto with = [&](auto change) {
     store::JobRecord other = job;
     change(other.spec);
-    return takes_idle_room_only(other, context);
+    return uses_best_effort_capacity_only(other, context);
   };
   EXPECT_FALSE(with([](auto& spec) { spec.team = "red"; }));
   EXPECT_FALSE(with([](auto& spec) { spec.job_class = "timed"; }));
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -203,7 +203,7 @@
   s.at = 5;
   s.revision = 90;
   s.current_age_s = 1.5;
-  s.acknowledged = CancellationPosition{"i1", 4};
+  s.known_cancellations = CancellationPosition{"i1", 4};
   s.offered_cancellations = CancellationOffer{{"i2", 9}, 6, true, {{"job-3", 91}, {"job-7", 95}}};
   return s;
 }
@@ -215,11 +215,11 @@
   const auto& got = std::get<PeerState>(done.reply);
   EXPECT_EQ(got.revision, 90u);
   EXPECT_EQ(got.current_age_s, 1.5);
-  ASSERT_TRUE(got.acknowledged && got.offered_cancellations);
-  EXPECT_EQ(got.acknowledged->count, 4u);
-  EXPECT_EQ(got.offered_cancellations->mark.count, 9u);
+  ASSERT_TRUE(got.known_cancellations && got.offered_cancellations);
+  EXPECT_EQ(got.known_cancellations->count, 4u);
+  EXPECT_EQ(got.offered_cancellations->end.count, 9u);
   EXPECT_EQ(got.offered_cancellations->from, 6u);
-  EXPECT_TRUE(got.offered_cancellations->whole);
+  EXPECT_TRUE(got.offered_cancellations->complete);
   ASSERT_EQ(got.offered_cancellations->cancellations.size(), 2u);
   EXPECT_EQ(got.offered_cancellations->cancellations[1].job, "job-7");
   EXPECT_EQ(got.offered_cancellations->cancellations[1].mod_revision, 95u);
@@ -241,7 +241,7 @@
   const auto d = decode_peer_request(5, "POST", "/peer", old.dump());
   const auto& state = std::get<HandlePeerState>(std::get<Command>(d)).state;
   EXPECT_EQ(state.node, "node-2");
-  EXPECT_FALSE(state.acknowledged || state.offered_cancellations || state.current_age_s);
+  EXPECT_FALSE(state.known_cancellations || state.offered_cancellations || state.current_age_s);
   EXPECT_EQ(status_with("/handover/whole", true), 0);
   EXPECT_EQ(status_with("/handover/whole", "yes"), 400);
   EXPECT_EQ(status_with("/handover/from", 10), 400);
--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -51,7 +51,7 @@
     } else {
       describe(*this, value);
       if constexpr (std::same_as<T, CancellationOffer>)
-        value.mark.count = value.from + value.cancellations.size();
+        value.end.count = value.from + value.cancellations.size();
     }
   }
 
--- a/tests/frozen_formats_test.cpp
+++ b/tests/frozen_formats_test.cpp
@@ -123,7 +123,7 @@
   s.at = 1000.5;
   s.revision = 77;
   s.current_age_s = 0.5;
-  s.acknowledged = CancellationPosition{"node-0.3", 5};
+  s.known_cancellations = CancellationPosition{"node-0.3", 5};
   s.offered_cancellations =
       CancellationOffer{{"node-1.7", 4}, 2, true, {{"job-000412", 70}, {"job-000413", 71}}};
   s.version = "0.2.0";
--- a/tests/gang_lifecycle_test.cpp
+++ b/tests/gang_lifecycle_test.cpp
@@ -37,10 +37,10 @@
 
 TEST(GangLifecycle, AStopOfOneMemberIsAStopOfAll) {
   auto r = gang_record(4);
-  spread_stop(r);
+  stop_all_if_any_stopping(r);
   EXPECT_EQ(gang_phase(r), GangPhase::gathering) << "nobody is to stop";
   r.placed[2].stopping = true;
-  spread_stop(r);
+  stop_all_if_any_stopping(r);
   for (const auto& p : reread(r).placed) EXPECT_TRUE(p.stopping) << p.task;
 }
 
@@ -58,7 +58,7 @@
     auto r = gang_record(3);
     r.spec.kind = kind;
     r.placed[0].stopping = true;
-    spread_stop(r);
+    stop_all_if_any_stopping(r);
     end_attempt(r);
     EXPECT_FALSE(r.placed[1].stopping);
   }
@@ -81,7 +81,7 @@
         break;
       default: break;
     }
-    spread_stop(r);
+    stop_all_if_any_stopping(r);
     r = reread(r);
     const GangPhase phase = gang_phase(r);
     RC_ASSERT(phase == GangPhase::idle || phase >= last);
--- a/tests/list_and_watch_test.cpp
+++ b/tests/list_and_watch_test.cpp
@@ -22,7 +22,7 @@
  public:
   explicit ListingClient(FakeStateStore& service)
       : service_(service), context_(settings(), {}, "incarnation", 1), state_cache_(listener_) {
-    state_store_.set_weight(1);
+    state_store_.set_budget_share(1);
   }
 
   /// Lets `seconds` pass; `before_page` runs before each page is read and says whether it is
@@ -32,7 +32,7 @@
     for (; context_.now < until; context_.now += kStep) {
       answer_watch();
       state_store_.tick();
-      for (auto& effect : std::exchange(context_.out, {}))
+      for (auto& effect : std::exchange(context_.effects, {}))
         if (auto* call = std::get_if<Call>(&effect)) answer(*call, before_page);
     }
   }
@@ -68,7 +68,7 @@
     } else {
       done = service_.answer(call, context_.now);
     }
-    context_.returned(std::move(done));
+    context_.on_call_done(std::move(done));
   }
 
   // A watch waits for a change.
@@ -80,7 +80,7 @@
     CallDone done{watch_->id, changes ? 200 : 410, {}};
     if (changes) done.reply = *changes;
     watch_.reset();
-    context_.returned(std::move(done));
+    context_.on_call_done(std::move(done));
   }
 
   FakeStateStore& service_;
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -27,10 +27,10 @@
 
 TEST(Placement, ACachedImageBeatsAFullerMachine) {
   ImageCaches images;
-  images.used("m2", "i", 8, 50);
+  images.record_use("m2", "i", 8, 50);
   std::vector<Slot> slots{slot("m1", cpu_type, zone_a), slot("m2", cpu_type, zone_a)};
   slots[0].free.cpus = 4;
-  slots[1].images = images.of("m2");
+  slots[1].images = images.cache_of("m2");
   EXPECT_EQ(select_slot(task(2, 0), {}, slots, {0, &images, nullptr})->machine, "m2");
 }
 
@@ -38,19 +38,19 @@
 // makes it miss its objective to start within one second.
 TEST(Placement, AFetchThatMakesAStartLateOutweighsPacking) {
   ImageCaches images;
-  images.used("m2", "i", 2, 50);
+  images.record_use("m2", "i", 2, 50);
   std::vector<Slot> slots{slot("m1", gpu_type, zone_a), slot("m2", gpu_type, zone_a)};
   slots[0].empty = false;
-  slots[0].pinned = true;
+  slots[0].has_non_preemptible = true;
   slots[0].free.cpus = 40;
-  slots[1].images = images.of("m2");
+  slots[1].images = images.cache_of("m2");
   auto t = task(2, 0);
   t.image_gb = 2.4;  // The fetch takes 0.6 s.
-  Fit fit;
-  fit.images = &images;
-  EXPECT_EQ(select_slot(t, {}, slots, fit)->machine, "m1");
-  fit.start_within_s = 1;
-  EXPECT_EQ(select_slot(t, {}, slots, fit)->machine, "m2");
+  PlacementConstraints constraints;
+  constraints.images = &images;
+  EXPECT_EQ(select_slot(t, {}, slots, constraints)->machine, "m1");
+  constraints.start_within_s = 1;
+  EXPECT_EQ(select_slot(t, {}, slots, constraints)->machine, "m2");
 }
 
 TEST(Placement, TheTightestObjectiveSaysWhenATaskShouldRun) {
@@ -68,24 +68,24 @@
 
 TEST(Placement, CachesKeepTheMostRecentlyUsed) {
   ImageCaches images;
-  images.used("m", "x", 20, 50);
-  images.used("m", "y", 20, 50);
-  images.used("m", "x", 20, 50);
-  images.used("m", "z", 20, 50);
+  images.record_use("m", "x", 20, 50);
+  images.record_use("m", "y", 20, 50);
+  images.record_use("m", "x", 20, 50);
+  images.record_use("m", "z", 20, 50);
   EXPECT_TRUE(images.has("m", "x") && images.has("m", "z"));
   EXPECT_FALSE(images.has("m", "y"));
 }
 
 TEST(Placement, CpusBesideFreeGpusStayTheirs) {
   std::vector<Slot> slots{slot("g", gpu_type, zone_a)};
-  const Fit fit{4, nullptr, nullptr};
+  const PlacementConstraints constraints{4, nullptr, nullptr};
   int placed = 0;
-  while (Slot* s = select_slot(task(2, 0), {}, slots, fit)) {
+  while (Slot* s = select_slot(task(2, 0), {}, slots, constraints)) {
     s->free.add(task(2, 0).per_task, -1);
     ++placed;
   }
   EXPECT_EQ(placed, 8);  // 48 - 8 GPUs x 4 = 16 CPUs
-  EXPECT_NE(select_slot(task(4, 1), {}, slots, fit), nullptr);
+  EXPECT_NE(select_slot(task(4, 1), {}, slots, constraints), nullptr);
 }
 
 TEST(Placement, SpotAndAvoidedMachinesAreLeftAlone) {
--- a/tests/simulation/cluster_simulation.cpp
+++ b/tests/simulation/cluster_simulation.cpp
@@ -182,7 +182,7 @@
     auto w = report_waiting_.extract(r->request);
     if (w.empty()) return;
     const auto waiting = w.mapped();
-    send(name, waiting.worker, [this, waiting, answer = r->reply, n] {
+    send(name, waiting.worker, [this, waiting, answer = r->response, n] {
       const auto it = workers_.find(waiting.worker);
       if (it == workers_.end() || it->second.phase != Worker::Phase::up ||
           now_ < it->second.hang_until)
@@ -217,7 +217,7 @@
     if (asker != peer_waiting_.end()) forget_new_words(p->state, n, asker->second.node);
     answer_peer(name, p->request, p->state);
   } else if (auto* passed = std::get_if<AnswerForwardedHeartbeat>(&e)) {
-    answer_peer(name, passed->request, passed->reply);
+    answer_peer(name, passed->request, passed->response);
   } else if (auto* c = std::get_if<Call>(&e)) {
     start_call(n, std::move(*c));
   } else if (auto* l = std::get_if<LogLine>(&e); l && options_.trace) {
@@ -229,7 +229,7 @@
   if (!options_.words_of_before.count(from) && !options_.words_of_before.count(to)) return;
   state.revision = 0;
   state.current_age_s.reset();
-  state.acknowledged.reset();
+  state.known_cancellations.reset();
   state.offered_cancellations.reset();
 }
 
--- a/tests/slot_index_test.cpp
+++ b/tests/slot_index_test.cpp
@@ -23,7 +23,7 @@
             type.size};
   slot.empty = *rc::gen::arbitrary<bool>();
   if (slot.empty) return slot;
-  slot.pinned = *rc::gen::arbitrary<bool>();
+  slot.has_non_preemptible = *rc::gen::arbitrary<bool>();
   slot.free.cpus -= *rc::gen::inRange(0, static_cast<int>(type.size.cpus) + 1);
   slot.free.gpus -= *rc::gen::inRange(0, static_cast<int>(type.size.gpus) + 1);
   return slot;
@@ -43,19 +43,20 @@
   return spec;
 }
 
-Fit any_fit(double cpu_per_gpu) {
-  Fit fit;
-  fit.cpu_per_gpu = cpu_per_gpu;
-  fit.strand_gpus = *rc::gen::arbitrary<bool>();
-  fit.spot_only = *rc::gen::inRange(0, 4) == 0;
-  fit.reserve = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)),
-                 static_cast<double>(*rc::gen::element(1, 2, 4))};
-  return fit;
+PlacementConstraints any_constraints(double cpu_per_gpu) {
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = cpu_per_gpu;
+  constraints.may_strand_gpus = *rc::gen::arbitrary<bool>();
+  constraints.spot_only = *rc::gen::inRange(0, 4) == 0;
+  constraints.headroom = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)),
+                          static_cast<double>(*rc::gen::element(1, 2, 4))};
+  return constraints;
 }
 
 ptrdiff_t place_by_linear_search(const store::JobSpec& spec, const ZoneCounts& zones,
-                                 std::vector<Slot>& slots, const Fit& fit) {
-  const Slot* slot = select_slot(spec, zones, slots, fit);
+                                 std::vector<Slot>& slots,
+                                 const PlacementConstraints& constraints) {
+  const Slot* slot = select_slot(spec, zones, slots, constraints);
   return slot ? slot - slots.data() : -1;
 }
 
@@ -73,19 +74,19 @@
   const int jobs = *rc::gen::inRange(1, 12);
   for (int job = 0; job < jobs; ++job) {
     const auto spec = any_spec();
-    const auto fit = any_fit(cpu_per_gpu);
+    const auto constraints = any_constraints(cpu_per_gpu);
     ZoneCounts zones;
     const size_t changes_before = index.changes();
     const auto slots_before = slots;
     for (uint32_t task = 0; task < spec.tasks; ++task) {
-      const ptrdiff_t expected = place_by_linear_search(spec, zones, slots, fit);
-      const auto found = index.select_slot(spec, zones, fit);
+      const ptrdiff_t expected = place_by_linear_search(spec, zones, slots, constraints);
+      const auto found = index.select_slot(spec, zones, constraints);
       RC_ASSERT((found ? static_cast<ptrdiff_t>(*found) : -1) == expected);
       if (!found) break;
       Slot& slot = slots[*found];
       slot.free.add(spec.per_task, -1);
       slot.empty = false;
-      index.take(*found, spec.per_task);
+      index.place_task(*found, spec.per_task);
       ++zones[*slot.zone];
     }
     if (*rc::gen::inRange(0, 3) == 0) {
@@ -105,18 +106,18 @@
   SlotIndex index;
   index.reset(4);
   index.add(slot);
-  Fit fit;
-  fit.cpu_per_gpu = 4;
-  fit.strand_gpus = true;
-  fit.reserve = {2, 2};
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = 4;
+  constraints.may_strand_gpus = true;
+  constraints.headroom = {2, 2};
   store::JobSpec spec;
   spec.per_task = {2, 0, 1};
-  EXPECT_FALSE(index.select_slot(spec, {}, fit));
+  EXPECT_FALSE(index.select_slot(spec, {}, constraints));
   spec.per_task.cpus = 1;
-  EXPECT_TRUE(index.select_slot(spec, {}, fit));
-  fit.reserve.gpus = 0;
+  EXPECT_TRUE(index.select_slot(spec, {}, constraints));
+  constraints.headroom.gpus = 0;
   spec.per_task.cpus = 2;
-  EXPECT_TRUE(index.select_slot(spec, {}, fit));
+  EXPECT_TRUE(index.select_slot(spec, {}, constraints));
 }
 
 // Returns how many groups and slots the index visits while it places eight tasks per machine, of
@@ -132,10 +133,11 @@
   for (size_t task = 0; task < 8 * machines; ++task) {
     store::JobSpec spec;
     spec.per_task = shapes[task % shapes.size()];
-    Fit fit;
-    fit.cpu_per_gpu = 4;
-    fit.reserve.gpus = headroom_gpus;
-    if (const auto place = index.select_slot(spec, {}, fit)) index.take(*place, spec.per_task);
+    PlacementConstraints constraints;
+    constraints.cpu_per_gpu = 4;
+    constraints.headroom.gpus = headroom_gpus;
+    if (const auto slot_number = index.select_slot(spec, {}, constraints))
+      index.place_task(*slot_number, spec.per_task);
   }
   return index.visits();
 }
--- a/tests/versions/current_fields.h
+++ b/tests/versions/current_fields.h
@@ -166,7 +166,7 @@
 }
 template <class A, OneOf<AnswerHeartbeat, AnswerForwardedHeartbeat> V>
 void describe(A& a, V& v) {
-  a("request", v.request)("reply", v.reply);
+  a("request", v.request)("reply", v.response);
 }
 template <class A, OneOf<AnswerPeer> V>
 void describe(A& a, V& v) {
@@ -267,14 +267,14 @@
 }
 template <class A, OneOf<CancellationOffer> V>
 void describe(A& a, V& v) {
-  a("mark", v.mark)("from", v.from)("whole", v.whole)("cancellations", v.cancellations);
+  a("mark", v.end)("from", v.from)("whole", v.complete)("cancellations", v.cancellations);
 }
 template <class A, OneOf<PeerState> V>
 void describe(A& a, V& v) {
   a("node", v.node)("incarnation", v.incarnation)("has_state", v.has_state_store)(
       "synced", v.synced)("backlog", v.backlog)("parts", v.shards)("heard", v.machines_heard)(
       "nodes", v.nodes)("at", v.at)("revision", v.revision)("current_age_s", v.current_age_s)(
-      "has", v.acknowledged)("handover", v.offered_cancellations)("version", v.version)(
+      "has", v.known_cancellations)("handover", v.offered_cancellations)("version", v.version)(
       "record_format", v.record_format)("budget_need", v.budget_need);
 }
 
--- a/tests/write_metrics_test.cpp
+++ b/tests/write_metrics_test.cpp
@@ -8,8 +8,8 @@
 
 TEST(WriteMetrics, ReportsWaitTimesByCauseAndUnusedWritesByStallReason) {
   WriteMetrics write_metrics;
-  write_metrics.change(WriteCause::task_end);
-  write_metrics.change(WriteCause::task_end);
+  write_metrics.record_change(WriteCause::task_end);
+  write_metrics.record_change(WriteCause::task_end);
   for (int i = 0; i < 100; ++i) write_metrics.record_write(WriteCause::task_end, 0.01 * i);
   write_metrics.record_stall(StallReason::in_flight, 10, 5);
   write_metrics.record_stall(StallReason::write_rate, 12, 5);
