--- a/tests/simulation/cluster_simulation.cpp
+++ b/tests/simulation/cluster_simulation.cpp
@@ -188,7 +188,7 @@
     auto pending = report_waiting_.extract(heartbeat_answer->request);
     if (pending.empty()) return;
     const auto waiting = pending.mapped();
-    send(name, waiting.worker, [this, waiting, answer = heartbeat_answer->reply, node_index] {
+    send(name, waiting.worker, [this, waiting, answer = heartbeat_answer->response, node_index] {
       const auto it = workers_.find(waiting.worker);
       if (it == workers_.end() || it->second.phase != Worker::Phase::up ||
           now_ < it->second.hang_until)
@@ -225,7 +225,7 @@
       clear_new_peer_fields(peer_answer->state, node_index, requester->second.node);
     answer_peer(name, peer_answer->request, peer_answer->state);
   } else if (auto* forwarded = std::get_if<AnswerForwardedHeartbeat>(&effect)) {
-    answer_peer(name, forwarded->request, forwarded->reply);
+    answer_peer(name, forwarded->request, forwarded->response);
   } else if (auto* call = std::get_if<Call>(&effect)) {
     start_call(node_index, std::move(*call));
   } else if (auto* log_line = std::get_if<LogLine>(&effect); log_line && options_.trace) {
@@ -239,7 +239,7 @@
     return;
   state.revision = 0;
   state.current_age_s.reset();
-  state.acknowledged.reset();
+  state.known_cancellations.reset();
   state.offered_cancellations.reset();
 }
 
