--- a/tests/best_effort_test.cpp
+++ b/tests/best_effort_test.cpp
@@ -1,4 +1,5 @@
-// A team without a guarantee, as guests are: it is served, and from what the others leave.
+// Teams without a guarantee, such as guests: they are served from the capacity that other teams
+// leave idle.
 #include "coordination/scheduling/best_effort.h"
 
 #include <gtest/gtest.h>
@@ -10,13 +11,13 @@
 namespace rushtrestle::testing {
 namespace {
 
-/// "red" has a guarantee, "guest" has neither guarantee nor limit.
+/// Returns two teams: "red" has a guarantee, "guest" has neither a guarantee nor a limit.
 std::vector<store::TeamSettings> red_and_guest() {
   return {{"red", {64, 16, 0}, {144, 40, 0}}, {"guest", {}, {store::kNoLimit, store::kNoLimit, 0}}};
 }
 
-store::JobSpec array_of(const std::string& id, const std::string& team, uint32_t tasks,
-                        double run_s) {
+store::JobSpec array_spec(const std::string& id, const std::string& team, uint32_t tasks,
+                          double run_s) {
   store::JobSpec spec;
   spec.id = id;
   spec.job_class = "batch";
@@ -32,17 +33,17 @@
   return spec;
 }
 
-TEST(BestEffort, WithoutAGuaranteeOrALimitAreServed) {
+TEST(BestEffort, TeamsWithoutAGuaranteeOrALimitAreServed) {
   ClusterSimulation::Options options;
   options.teams = red_and_guest();
-  ClusterSimulation w(options);
-  w.submit(array_of("job-1", "guest", 40, 10), 2);
-  w.run_until(200);
-  EXPECT_TRUE(w.violations.empty());
-  EXPECT_EQ(w.last_reported_status("job-1").value_or(""), "done");
+  ClusterSimulation sim(options);
+  sim.submit(array_spec("job-1", "guest", 40, 10), 2);
+  sim.run_until(200);
+  EXPECT_TRUE(sim.violations.empty());
+  EXPECT_EQ(sim.last_reported_status("job-1").value_or(""), "done");
 }
 
-store::JobSpec gateway_of(const std::string& id, const std::string& team) {
+store::JobSpec gateway_spec(const std::string& id, const std::string& team) {
   store::JobSpec spec;
   spec.id = id;
   spec.job_class = "gateway";
@@ -56,81 +57,82 @@
   return spec;
 }
 
-/// Ordinary machines that were ever rented, by the records in the state service.
-size_t ordinary_machines(const ClusterSimulation& w) {
-  size_t ordinary = 0;
+/// Returns the number of on-demand machines that were ever provisioned, by the records in the state
+/// service.
+size_t count_on_demand_machines(const ClusterSimulation& sim) {
+  size_t on_demand = 0;
   for (int i = 1;; ++i) {
     char key[32];
     std::snprintf(key, sizeof key, "machine/n-%06d", i);
-    const auto* record = w.stored_value(key);
-    if (!record) return ordinary;
-    if (!record->value("spot", false)) ++ordinary;
+    const auto* record = sim.stored_value(key);
+    if (!record) return on_demand;
+    if (!record->value("spot", false)) ++on_demand;
   }
 }
 
-// Idle-time work of guests was given ordinary machines with GPUs, at forty times the price of the
-// cheapest.
-TEST(BestEffort, HaveNoOrdinaryMachineRentedForTheirIdleTimeWork) {
+// Guards against on-demand machines for best-effort jobs: jobs of guests without a time limit got
+// on-demand machines with GPUs, at forty times the price of the cheapest machine.
+TEST(BestEffort, NoOnDemandMachineIsProvisionedForJobsWithoutATimeLimit) {
   ClusterSimulation::Options options;
   options.teams = red_and_guest();
   options.boot_failures = false;
-  ClusterSimulation w(options);
-  w.submit(array_of("job-1", "guest", 400, 40), 2);
-  w.run_until(100);
-  EXPECT_TRUE(w.violations.empty());
-  EXPECT_GT(w.running("job-1"), 0U);
-  EXPECT_EQ(ordinary_machines(w), 0U);
+  ClusterSimulation sim(options);
+  sim.submit(array_spec("job-1", "guest", 400, 40), 2);
+  sim.run_until(100);
+  EXPECT_TRUE(sim.violations.empty());
+  EXPECT_GT(sim.running("job-1"), 0U);
+  EXPECT_EQ(count_on_demand_machines(sim), 0U);
 }
 
-// With nothing used of a guarantee of nothing, a guest's queue came first in each pass, and its
-// work filled the spare room.
-TEST(BestEffort, LeaveRoomForWhatIsExpectedOfTheOthers) {
+// Guards against guests that fill the headroom: a guest uses nothing of a guarantee of zero, so its
+// queue came first in each scheduling pass, and its jobs took the headroom of the other teams.
+TEST(BestEffort, HeadroomForExpectedJobsOfOtherTeamsStaysFree) {
   ClusterSimulation::Options options;
-  options.nodes = 1;  // one part: the teams share its machines
+  options.nodes = 1;  // With one shard, the teams share its machines.
   options.teams = red_and_guest();
   options.boot_failures = false;
-  ClusterSimulation w(options);
+  ClusterSimulation sim(options);
   constexpr int kGateways = 20;
   for (int i = 0; i < kGateways; ++i)
-    w.submit(gateway_of("job-" + std::to_string(100 + i), "red"), 2 + 10 * i);
-  auto array = array_of("job-1", "guest", 2000, 100);
-  array.rank = store::Rank::normal;  // on ordinary machines, too
-  w.submit(array, 60);
+    sim.submit(gateway_spec("job-" + std::to_string(100 + i), "red"), 2 + 10 * i);
+  auto array = array_spec("job-1", "guest", 2000, 100);
+  array.rank = store::Rank::normal;  // This rank may also use on-demand machines.
+  sim.submit(array, 60);
   size_t late = 0;
   for (int i = 10; i < kGateways; ++i) {
     const std::string id = "job-" + std::to_string(100 + i);
-    w.at(2 + 10 * i + 5, [&w, &late, id] { late += w.running(id) < 2 ? 1 : 0; });
+    sim.at(2 + 10 * i + 5, [&sim, &late, id] { late += sim.running(id) < 2 ? 1 : 0; });
   }
-  w.run_until(230);
-  EXPECT_TRUE(w.violations.empty());
-  EXPECT_GT(w.running("job-1"), 0U);
+  sim.run_until(230);
+  EXPECT_TRUE(sim.violations.empty());
+  EXPECT_GT(sim.running("job-1"), 0U);
   EXPECT_LE(late, 1U);
 }
 
-TEST(BestEffort, IdleTimeWorkHasNoDeadlineNoObjectiveAndHasBegun) {
+TEST(BestEffort, OnlyJobsWithoutATimeLimitUseBestEffortCapacityOnly) {
   store::Settings settings;
   settings.teams = red_and_guest();
   settings.objectives = {{"finished", "timed", 400, 0.8}};
   Context context(settings, {}, "incarnation", 1);
   context.wall = 1000;
   store::JobRecord job;
-  job.spec = array_of("job-1", "guest", 1, 10);
+  job.spec = array_spec("job-1", "guest", 1, 10);
   job.submitted = 950;
   EXPECT_TRUE(uses_best_effort_capacity_only(job, context));
-  job.submitted = 800;  // not begun for long: anywhere
+  job.submitted = 800;  // A job that has waited long for its first start may run anywhere.
   EXPECT_FALSE(uses_best_effort_capacity_only(job, context));
   job.attempts = 1;
   EXPECT_TRUE(uses_best_effort_capacity_only(job, context));
-  const auto with = [&](auto change) {
+  const auto best_effort_only_with = [&](auto change) {
     store::JobRecord other = job;
     change(other.spec);
     return uses_best_effort_capacity_only(other, context);
   };
-  EXPECT_FALSE(with([](auto& spec) { spec.team = "red"; }));
-  EXPECT_FALSE(with([](auto& spec) { spec.job_class = "timed"; }));
-  EXPECT_FALSE(with([](auto& spec) { spec.deadline_s = 100; }));
-  EXPECT_FALSE(with([](auto& spec) { spec.rank = store::Rank::normal; }));
-  EXPECT_FALSE(with([](auto& spec) { spec.spot = false; }));
+  EXPECT_FALSE(best_effort_only_with([](auto& spec) { spec.team = "red"; }));
+  EXPECT_FALSE(best_effort_only_with([](auto& spec) { spec.job_class = "timed"; }));
+  EXPECT_FALSE(best_effort_only_with([](auto& spec) { spec.deadline_s = 100; }));
+  EXPECT_FALSE(best_effort_only_with([](auto& spec) { spec.rank = store::Rank::normal; }));
+  EXPECT_FALSE(best_effort_only_with([](auto& spec) { spec.spot = false; }));
 }
 
 }  // namespace
