--- a/tests/failure_attribution_test.cpp
+++ b/tests/failure_attribution_test.cpp
@@ -64,7 +64,7 @@
   return options;
 }
 
-TEST(FailureAttribution, JobsWithAMistakeCondemnNoMachineAndCostLittle) {
+TEST(FailureAttribution, FaultyJobsMarkNoMachineForDeletionAndCostFewStarts) {
   ClusterSimulation cluster(stable_fleet_options());
   constexpr int kFailingJobs = 4;
   for (int i = 0; i < kFailingJobs; ++i) {
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(FailureAttribution, ABadMachineIsCondemnedAndItsJobsGoOnElsewhere) {
+TEST(FailureAttribution, AFaultyMachineIsMarkedForDeletionAndItsJobsCompleteElsewhere) {
   ClusterSimulation cluster(stable_fleet_options());
   auto first = array_job("job-1", 2);
   first.estimate_s = 30;
--- a/tests/list_and_watch_test.cpp
+++ b/tests/list_and_watch_test.cpp
@@ -1,4 +1,5 @@
-// How a controller lists all keys of the state store while they change, and watches the changes.
+// Tests how a controller lists all keys of the state store while they change, and watches the
+// changes.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -17,7 +18,7 @@
   void on_lease_holder_changed(const std::string&) override {}
 };
 
-/// A client of a state store that answers at once, one request after the other.
+/// Connects a StateStoreClient to a state store that answers requests at once, one after another.
 class ListingClient {
  public:
   explicit ListingClient(FakeStateStore& service)
@@ -25,8 +26,8 @@
     state_store_.set_budget_share(1);
   }
 
-  /// Lets `seconds` pass; `before_page` runs before each page is read and says whether it is
-  /// answered.
+  /// Advances the time by `seconds`. Calls `before_page` before each page is read; the page is
+  /// answered if it returns true.
   void run(double seconds, const std::function<bool()>& before_page) {
     const double until = context_.now + seconds;
     for (; context_.now < until; context_.now += kStep) {
@@ -71,7 +72,7 @@
     context_.on_call_done(std::move(done));
   }
 
-  // A watch waits for a change.
+  // Answers the open watch, if any. A watch with a hold time stays open until there is a change.
   void answer_watch() {
     if (!watch_) return;
     const auto& watch = std::get<Watch>(watch_->body);
@@ -106,7 +107,7 @@
 }
 
 constexpr int kMachines = 4000;
-constexpr size_t kChangesKept = 10000;  // by the protocol
+constexpr size_t kChangesKept = 10000;  // as the protocol sets it
 
 FakeStateStore service_with_machines() {
   FakeStateStore service;
@@ -116,71 +117,71 @@
   return service;
 }
 
-// While all keys of a large fleet were listed, more changes happened than the state store keeps:
-// the first watch was answered with 410, the keys were listed again, and so on for as long as the
-// fleet was busy.
-TEST(ListAndWatch, MoreChangesThanAreKeptDuringTheReadDontBeginItAnew) {
+// Guards against a list that repeats for as long as the fleet is busy: more changes than the state
+// store keeps happened while the keys of a large fleet were listed, so the first watch was answered
+// with 410 and the keys were listed again.
+TEST(ListAndWatch, MoreChangesThanAreKeptDuringAListDoNotRestartIt) {
   FakeStateStore service = service_with_machines();
-  ListingClient state_store(service);
+  ListingClient client(service);
   int changed = 0;
-  const auto busy = [&] {
+  const auto change_machines = [&] {
     for (int i = 0; i < 700; ++i, ++changed)
       service.preset(machine_name(changed % kMachines), machine_value(changed + 1));
     return true;
   };
-  state_store.run(8, busy);
+  client.run(8, change_machines);
   EXPECT_GT(changed, static_cast<int>(kChangesKept));
-  EXPECT_TRUE(state_store.state_store().synced());
-  EXPECT_LE(state_store.pages(), 21u);
+  EXPECT_TRUE(client.state_store().synced());
+  EXPECT_LE(client.pages(), 21u);
   for (int i = 0; i < kMachines; ++i) {
-    const auto* machine = state_store.state_cache().machine("n-" + std::to_string(100000 + i));
+    const auto* machine = client.state_cache().machine("n-" + std::to_string(100000 + i));
     ASSERT_NE(machine, nullptr) << i;
     ASSERT_EQ(to_json(machine->record), *service.value_of(machine_name(i))) << i;
   }
 }
 
-// A list that began anew for each page without an answer never came to its end.
-TEST(ListAndWatch, APageWithoutAnAnswerIsAskedForAgain) {
+// Guards against a list that restarts after each unanswered page and never completes.
+TEST(ListAndWatch, AnUnansweredPageIsRequestedAgain) {
   FakeStateStore service = service_with_machines();
-  ListingClient state_store(service);
-  int asked = 0;
-  state_store.run(30, [&] { return ++asked % 5 != 0; });
-  EXPECT_TRUE(state_store.state_store().synced());
-  EXPECT_EQ(state_store.state_cache().present_machines().size(), static_cast<size_t>(kMachines));
-  EXPECT_LE(state_store.pages(), 26u);
+  ListingClient client(service);
+  int requested = 0;
+  client.run(30, [&] { return ++requested % 5 != 0; });
+  EXPECT_TRUE(client.state_store().synced());
+  EXPECT_EQ(client.state_cache().present_machines().size(), static_cast<size_t>(kMachines));
+  EXPECT_LE(client.pages(), 26u);
 }
 
-// Keys vanish with their lease. Where the changes that tell of it are no longer kept, the next list
-// shows it by their absence; a key that was written after the list had passed its place is not
-// absent.
-TEST(ListAndWatch, LeasedKeysThatVanishedUnseenAreNotHeldToBeThere) {
+// The state store deletes keys when their lease expires. If it no longer keeps these changes, the
+// client must remove the keys that are absent from the next list, but not a key that was written
+// after the list had passed its position.
+TEST(ListAndWatch, ExpiredKeysWhoseDeletionsWereNotSeenAreRemoved) {
   FakeStateStore service = service_with_machines();
-  ListingClient state_store(service);
-  const auto hold = [&](int shard) {
+  ListingClient client(service);
+  const auto take_lease = [&](int shard) {
     const CallDone granted = service.answer(Call{1, 1, GrantLease{5}}, 0);
     Txn txn;
     txn.writes.push_back({store::shard_key(shard), to_json(store::LeaseHolderRecord{"other", "x"}),
                           std::get<LeaseReply>(granted.reply).lease});
     service.answer(Call{2, 1, txn}, 0);
   };
-  const auto held = [&](int shard) {
-    const auto* lease_holder = state_store.state_cache().lease_holder(store::shard_key(shard));
+  const auto is_held = [&](int shard) {
+    const auto* lease_holder = client.state_cache().lease_holder(store::shard_key(shard));
     return lease_holder && lease_holder->present;
   };
-  const auto answered = [] { return true; };
-  hold(1);
-  state_store.run(5, answered);
-  ASSERT_TRUE(state_store.state_store().synced());
-  ASSERT_TRUE(held(1));
+  const auto always_answer = [] { return true; };
+  take_lease(1);
+  client.run(5, always_answer);
+  ASSERT_TRUE(client.state_store().synced());
+  ASSERT_TRUE(is_held(1));
   service.expire_leases(100);
   for (size_t i = 0; i <= kChangesKept; ++i)
     service.preset(machine_name(0), machine_value(static_cast<int>(i)));
-  state_store.run(5, answered);
-  ASSERT_TRUE(state_store.state_store().synced());
-  EXPECT_FALSE(held(1));
-  hold(2);
-  state_store.run(5, answered);
-  EXPECT_TRUE(held(2));
+  client.run(5, always_answer);
+  ASSERT_TRUE(client.state_store().synced());
+  EXPECT_FALSE(is_held(1));
+  take_lease(2);
+  client.run(5, always_answer);
+  EXPECT_TRUE(is_held(2));
 }
 
 }  // namespace
--- a/tests/requeue_test.cpp
+++ b/tests/requeue_test.cpp
@@ -1,4 +1,5 @@
-// The paper's eligibility criteria and edge cases, one by one.
+// Tests the paper's criteria for nominating a job as a preemption victim, with their edge cases,
+// and preemption as a whole in a simulated cluster.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -11,157 +12,162 @@
 
 constexpr double kNow = 1e9;
 
-store::JobRecord overrun() {
-  store::JobRecord r;
-  r.spec.rank = store::Rank::normal;
-  r.spec.estimate_s = 100;
-  r.last_start = kNow - 100;
-  r.placed.push_back({0, "m", 1, true, false});
-  return r;
+store::JobRecord overrun_job() {
+  store::JobRecord job;
+  job.spec.rank = store::Rank::normal;
+  job.spec.estimate_s = 100;
+  job.last_start = kNow - 100;
+  job.placed.push_back({0, "m", 1, true, false});
+  return job;
 }
 
-std::string reason(const store::JobRecord& r) { return nomination_skip_reason(r, kNow, {}, 1.0); }
+std::string skip_reason(const store::JobRecord& job) {
+  return nomination_skip_reason(job, kNow, {}, 1.0);
+}
 
-TEST(Requeue, NominatesOnceTheExpectedRuntimeIsReached) { EXPECT_EQ(reason(overrun()), ""); }
+TEST(Requeue, NominatesOnceTheExpectedRuntimeIsReached) {
+  EXPECT_EQ(skip_reason(overrun_job()), "");
+}
 
 TEST(Requeue, NotBeforeTheExpectedRuntime) {
-  auto r = overrun();
-  r.last_start += 0.5;
-  EXPECT_EQ(reason(r), "not_due");
+  auto job = overrun_job();
+  job.last_start += 0.5;
+  EXPECT_EQ(skip_reason(job), "not_due");
 }
 
 TEST(Requeue, OnlyRunningJobs) {
-  auto r = overrun();
-  r.placed[0].running = false;
-  EXPECT_EQ(reason(r), "not_running");
-  r.placed.clear();
-  EXPECT_EQ(reason(r), "not_running");
+  auto job = overrun_job();
+  job.placed[0].running = false;
+  EXPECT_EQ(skip_reason(job), "not_running");
+  job.placed.clear();
+  EXPECT_EQ(skip_reason(job), "not_running");
 }
 
 TEST(Requeue, OnlyPreemptibleRanks) {
-  auto r = overrun();
-  r.spec.rank = store::Rank::production;
-  EXPECT_EQ(reason(r), "not_preemptible");
+  auto job = overrun_job();
+  job.spec.rank = store::Rank::production;
+  EXPECT_EQ(skip_reason(job), "not_preemptible");
 }
 
 TEST(Requeue, JobsWithoutAValidRuntimeAreNeverNominated) {
   for (const double bad : {0.0, -1.0, std::numeric_limits<double>::quiet_NaN(),
                            std::numeric_limits<double>::infinity()}) {
-    auto r = overrun();
-    r.spec.estimate_s = bad;
-    EXPECT_EQ(reason(r), "invalid_duration");
+    auto job = overrun_job();
+    job.spec.estimate_s = bad;
+    EXPECT_EQ(skip_reason(job), "invalid_duration");
   }
 }
 
-TEST(Requeue, MissingStart) {
-  auto r = overrun();
-  r.last_start = 0;
-  EXPECT_EQ(reason(r), "missing_start");
+TEST(Requeue, JobsWithoutAStartTimeAreNeverNominated) {
+  auto job = overrun_job();
+  job.last_start = 0;
+  EXPECT_EQ(skip_reason(job), "missing_start");
 }
 
-TEST(Requeue, ClockSkewIsToldFromTwoHonestClocks) {
-  auto r = overrun();
-  r.last_start = kNow + 1.5;  // within twice the bound of one second
-  EXPECT_EQ(reason(r), "not_due");
-  r.last_start = kNow + 2.5;
-  EXPECT_EQ(reason(r), "clock_skew");
+TEST(Requeue, StartBeyondTwiceTheClockErrorIsClockSkew) {
+  auto job = overrun_job();
+  job.last_start = kNow + 1.5;  // within twice the clock error bound of one second
+  EXPECT_EQ(skip_reason(job), "not_due");
+  job.last_start = kNow + 2.5;
+  EXPECT_EQ(skip_reason(job), "clock_skew");
 }
 
-TEST(Requeue, CooldownGate) {
-  auto r = overrun();
-  r.not_before = kNow + 1;
-  EXPECT_EQ(reason(r), "cooldown");
-  r.not_before = kNow;
-  EXPECT_EQ(reason(r), "");
-  r.not_before = -3;
-  EXPECT_EQ(reason(r), "invalid_not_before");
-  r.not_before = std::numeric_limits<double>::quiet_NaN();
-  EXPECT_EQ(reason(r), "invalid_not_before");
+TEST(Requeue, CooldownOrInvalidNotBeforePreventsNomination) {
+  auto job = overrun_job();
+  job.not_before = kNow + 1;
+  EXPECT_EQ(skip_reason(job), "cooldown");
+  job.not_before = kNow;
+  EXPECT_EQ(skip_reason(job), "");
+  job.not_before = -3;
+  EXPECT_EQ(skip_reason(job), "invalid_not_before");
+  job.not_before = std::numeric_limits<double>::quiet_NaN();
+  EXPECT_EQ(skip_reason(job), "invalid_not_before");
 }
 
-store::JobSpec filler(const std::string& id, uint32_t tasks, double estimate) {
-  store::JobSpec s;
-  s.id = id;
-  s.job_class = "batch";
-  s.team = "red";
-  s.tasks = tasks;
-  s.per_task = {16, 0, 1};
-  s.image = "i";
-  s.estimate_s = estimate;
-  return s;
+store::JobSpec batch_job(const std::string& id, uint32_t tasks, double estimate) {
+  store::JobSpec spec;
+  spec.id = id;
+  spec.job_class = "batch";
+  spec.team = "red";
+  spec.tasks = tasks;
+  spec.per_task = {16, 0, 1};
+  spec.image = "i";
+  spec.estimate_s = estimate;
+  return spec;
 }
 
-// One machine type, one machine a zone: what waits can only run in place of something else.
-testing::ClusterSimulation::Options tight() {
-  testing::ClusterSimulation::Options o;
-  o.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 5, {"a", "b"}}};
-  o.capacity = {{"small", 1}};
-  return o;
+// Allows one machine type and one machine per zone: a waiting job can only run in place of another.
+testing::ClusterSimulation::Options two_machine_options() {
+  testing::ClusterSimulation::Options options;
+  options.types = {{"small", {16, 0, 64}, 50, 0.5, 1, 0.4, 5, {"a", "b"}}};
+  options.capacity = {{"small", 1}};
+  return options;
 }
 
-// A fleet of two machines that can't grow, full of an array whose owner guessed 20 s and that runs
-// for ten times that.
-testing::ClusterSimulation::Options overrunning() {
-  auto o = tight();
-  o.boot_failures = false;
-  o.run_factor = 10;
-  return o;
+// Allows two machines in total. Jobs run ten times as long as they estimate; the tests fill the
+// machines with an array that estimates 20 s.
+testing::ClusterSimulation::Options overrun_options() {
+  auto options = two_machine_options();
+  options.boot_failures = false;
+  options.run_factor = 10;
+  return options;
 }
 
 TEST(Requeue, OverrunAloneEvictsNothing) {
-  testing::ClusterSimulation w(overrunning());
-  w.submit(filler("job-1", 2, 20), 1);
-  w.run_until(100);
-  EXPECT_EQ(w.running("job-1"), 2u);
-  EXPECT_EQ(w.starts_of("job-1"), 2u);
-  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
-}
-
-TEST(Requeue, AContenderThatNeverFitsEvictsNothing) {
-  testing::ClusterSimulation w(overrunning());
-  w.submit(filler("job-1", 2, 20), 1);
-  auto big = filler("job-2", 3, 20);  // never fits whole: stays out, and every trial rolls back
+  testing::ClusterSimulation sim(overrun_options());
+  sim.submit(batch_job("job-1", 2, 20), 1);
+  sim.run_until(100);
+  EXPECT_EQ(sim.running("job-1"), 2u);
+  EXPECT_EQ(sim.starts_of("job-1"), 2u);
+  EXPECT_TRUE(sim.violations.empty()) << sim.violations.front();
+}
+
+TEST(Requeue, APreemptorThatNeverFitsEvictsNothing) {
+  testing::ClusterSimulation sim(overrun_options());
+  sim.submit(batch_job("job-1", 2, 20), 1);
+  auto big = batch_job("job-2", 3, 20);  // Never fits whole: every trial is rolled back.
   big.rank = store::Rank::high;
   big.per_task.cpus = 16;
-  w.submit(big, 20);
-  w.run_until(90);
-  EXPECT_EQ(w.starts_of("job-1"), 2u);
-  EXPECT_EQ(w.stored_value("job/job-1")->value("not_before", 0.0), 0.0);
-  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
-}
-
-// Nomination, trial, commit, stop, the contender whole in the freed room, and the cooldown of the
-// victim.
-TEST(Requeue, ACommitMakesRoomForTheContenderAndTheVictimSitsOutItsCooldown) {
-  testing::ClusterSimulation w(overrunning());
-  w.submit(filler("job-1", 2, 20), 1);
-  auto preemptor = filler("job-2", 2, 3);  // 30 s in truth
+  sim.submit(big, 20);
+  sim.run_until(90);
+  EXPECT_EQ(sim.starts_of("job-1"), 2u);
+  EXPECT_EQ(sim.stored_value("job/job-1")->value("not_before", 0.0), 0.0);
+  EXPECT_TRUE(sim.violations.empty()) << sim.violations.front();
+}
+
+// Covers nomination, trial, commit, the stop of the victim, the start of all tasks of the preemptor
+// in the freed room, and the cooldown of the victim.
+TEST(Requeue, APreemptionFreesRoomAndItsVictimIsNotPreemptedDuringTheCooldown) {
+  testing::ClusterSimulation sim(overrun_options());
+  sim.submit(batch_job("job-1", 2, 20), 1);
+  auto preemptor = batch_job("job-2", 2, 3);  // The real run time is 30 s.
   preemptor.rank = store::Rank::high;
-  w.submit(preemptor, 20);
-  w.run_until(25);
-  ASSERT_EQ(w.running("job-1"), 2u);
-  EXPECT_EQ(w.starts_of("job-2"), 0u) << "not due yet";
-  w.run_until(50);
-  EXPECT_EQ(w.running("job-2"), 2u);
-  EXPECT_EQ(w.running("job-1"), 0u);
-  const double not_before = w.stored_value("job/job-1")->value("not_before", 0.0);
+  sim.submit(preemptor, 20);
+  sim.run_until(25);
+  ASSERT_EQ(sim.running("job-1"), 2u);
+  EXPECT_EQ(sim.starts_of("job-2"), 0u) << "job-1 has not reached its expected run time yet";
+  sim.run_until(50);
+  EXPECT_EQ(sim.running("job-2"), 2u);
+  EXPECT_EQ(sim.running("job-1"), 0u);
+  const double not_before = sim.stored_value("job/job-1")->value("not_before", 0.0);
   EXPECT_GT(not_before, 0.0);
-  // When the contender is over the victim runs again, from its checkpoint or anew; another
-  // contender comes once it is due again, and gets nothing while the cooldown lasts.
-  w.run_until(75);
-  EXPECT_EQ(w.last_reported_status("job-2"), "done");
-  EXPECT_EQ(w.running("job-1"), 2u);
-  EXPECT_EQ(w.starts_of("job-1"), 4u);
-  auto second = filler("job-3", 2, 3);
+  // The victim runs again once the preemptor is done, from its checkpoint or from the start. A
+  // second preemptor starts no task before the cooldown of the victim ends.
+  sim.run_until(75);
+  EXPECT_EQ(sim.last_reported_status("job-2"), "done");
+  EXPECT_EQ(sim.running("job-1"), 2u);
+  EXPECT_EQ(sim.starts_of("job-1"), 4u);
+  auto second = batch_job("job-3", 2, 3);
   second.rank = store::Rank::high;
-  w.submit(second, 76);
-  const double cooldown_ends = w.now() + 60;  // the commit was before now
-  w.run_until(not_before - 1e9 - 2);
-  EXPECT_EQ(w.starts_of("job-3"), 0u);
-  EXPECT_EQ(w.starts_of("job-1"), 4u);
-  w.run_until(cooldown_ends + 40);
-  EXPECT_EQ(w.starts_of("job-3"), 2u);
-  EXPECT_TRUE(w.violations.empty()) << w.violations.front();
+  sim.submit(second, 76);
+  // The commit came before now, so its cooldown of 60 s (requeue_delay_s) ends before this time.
+  const double cooldown_ends = sim.now() + 60;
+  sim.run_until(not_before - 1e9 - 2);
+  EXPECT_EQ(sim.starts_of("job-3"), 0u);
+  EXPECT_EQ(sim.starts_of("job-1"), 4u);
+  sim.run_until(cooldown_ends + 40);
+  EXPECT_EQ(sim.starts_of("job-3"), 2u);
+  EXPECT_TRUE(sim.violations.empty()) << sim.violations.front();
 }
 
 }  // namespace
