--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -1,5 +1,5 @@
-// Generated troubles over generated work: whatever comes together, no rule is broken,
-// and once the troubles are over all that was accepted is served.
+// Random schedules of faults with random jobs: no combination breaks a rule of the protocol, and
+// all accepted jobs are served once the faults are over.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -8,36 +8,37 @@
 namespace rushtrestle::testing {
 namespace {
 
-RC_GTEST_PROP(Failures, NoScheduleOfTroublesBreaksARule, ()) {
+RC_GTEST_PROP(Failures, NoScheduleOfFaultsBreaksARule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   const auto schedule =
       *rc::gen::resize(8, rc::gen::container<std::vector<Fault>>(generated_fault()));
   ClusterSimulation::Options options;
   options.seed = seed;
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
-  ClusterSimulation w(options);
+  ClusterSimulation sim(options);
   std::mt19937_64 rng(seed);
   constexpr int kJobs = 24;
   for (int i = 0; i < kJobs; ++i) {
     const double at = 2 + static_cast<double>(rng() % 100);
-    w.submit(random_job(i, rng), at);
+    sim.submit(random_job(i, rng), at);
     if (rng() % 4 == 0)
-      w.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
+      sim.cancel("job-" + std::to_string(i), at + 5 + static_cast<double>(rng() % 60));
   }
-  for (const auto& t : schedule) w.at(t.at, [&w, t] { inject(w, t); });
-  w.run_until(330);
-  for (const auto& b : w.violations) RC_LOG() << b << "\n";
-  RC_ASSERT(w.violations.empty());
+  for (const auto& fault : schedule) sim.at(fault.at, [&sim, fault] { inject(sim, fault); });
+  sim.run_until(330);
+  for (const auto& violation : sim.violations) RC_LOG() << violation << "\n";
+  RC_ASSERT(sim.violations.empty());
   for (int i = 0; i < kJobs; ++i) {
     const std::string id = "job-" + std::to_string(i);
-    RC_ASSERT(w.accepted(id));
-    if (w.cancelled_by_user(id)) continue;
-    RC_ASSERT(w.last_reported_status(id).has_value());
-    const auto* record = w.stored_value("job/" + id);
+    RC_ASSERT(sim.accepted(id));
+    if (sim.cancelled_by_user(id)) continue;
+    RC_ASSERT(sim.last_reported_status(id).has_value());
+    const auto* record = sim.stored_value("job/" + id);
     RC_LOG() << id << " " << record->dump() << "\n";
-    for (const auto& p : record->value("placed", store::Json::array()))
-      RC_LOG() << "  " << w.stored_value("machine/" + p[1].get<std::string>())->dump() << "\n";
-    RC_ASSERT(*w.last_reported_status(id) == "done" || w.running(id) > 0);
+    for (const auto& placement : record->value("placed", store::Json::array()))
+      RC_LOG() << "  " << sim.stored_value("machine/" + placement[1].get<std::string>())->dump()
+               << "\n";
+    RC_ASSERT(*sim.last_reported_status(id) == "done" || sim.running(id) > 0);
   }
 }
 
