--- a/tests/exchange_test.cpp
+++ b/tests/exchange_test.cpp
@@ -1,5 +1,5 @@
-// The JSON form in which the tests pass commands and effects between today's code and earlier
-// versions of it: no field may fall out of it unseen.
+// Checks the JSON form in which the tests pass commands and effects between the current version and
+// earlier versions of the core. A field that is missing from the form would be lost silently.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace rushtrestle::exchange {
 namespace {
 
-/// Gives every field that `describe` lists a value.
+/// Fills every field that `describe` lists with a random value.
 struct Filler {
   std::mt19937_64& rng;
 
@@ -25,23 +25,23 @@
 
   template <class T>
   void fill(T& value) {
-    constexpr uint64_t kEnumerators = 3;  // every enum has as many at the least
-    constexpr uint64_t kNumbers = 1000;
-    constexpr uint64_t kMostElements = 4;
+    constexpr uint64_t kMinEnumerators = 3;  // each enum has at least this many
+    constexpr uint64_t kNumberLimit = 1000;
+    constexpr uint64_t kElementLimit = 4;
     if constexpr (std::same_as<T, Json>) {
-      value = {{"w", below(kNumbers)}};
+      value = {{"w", below(kNumberLimit)}};
     } else if constexpr (std::same_as<T, bool>) {
       value = below(2) == 0;
     } else if constexpr (std::is_arithmetic_v<T>) {
-      value = static_cast<T>(below(kNumbers) + 1);
+      value = static_cast<T>(below(kNumberLimit) + 1);
     } else if constexpr (std::same_as<T, std::string>) {
-      value = "job-" + std::to_string(below(kNumbers));
+      value = "job-" + std::to_string(below(kNumberLimit));
     } else if constexpr (std::is_enum_v<T>) {
-      value = static_cast<T>(below(kEnumerators));
+      value = static_cast<T>(below(kMinEnumerators));
     } else if constexpr (kIsOptional<T>) {
-      if (below(kMostElements) > 0) fill(value.emplace());
+      if (below(kElementLimit) > 0) fill(value.emplace());
     } else if constexpr (kIsVector<T>) {
-      value.resize(below(kMostElements));
+      value.resize(below(kElementLimit));
       for (auto& element : value) fill(element);
     } else if constexpr (kIsPair<T>) {
       fill(value.first);
@@ -55,7 +55,7 @@
     }
   }
 
-  /// One value of each alternative, of each kind of reply and of each kind of call.
+  /// Appends one value of each alternative, of each kind of reply and of each kind of call.
   template <class... T>
   void fill_all(std::vector<std::variant<T...>>& values) {
     (add_each<T>(values), ...);
@@ -88,19 +88,20 @@
   }
 };
 
-/// A body of a message between controllers is JSON text within the JSON.
-Json opened(const Json& value) {
+/// Parses a string that holds a JSON object, such as the body of a message between controllers;
+/// returns any other value unchanged.
+Json parse_nested_object(const Json& value) {
   if (!value.is_string()) return value;
   const Json inner = Json::parse(value.get<std::string>(), nullptr, false);
   return inner.is_object() ? inner : value;
 }
 
-/// Every field that the earlier version writes stands in ours, with the same value; lists have the
-/// same length.
+/// Checks that every field that the earlier version writes is in the current version's JSON with
+/// the same value, and that lists have the same length.
 void expect_contained(const Json& earlier_value, const Json& current_value,
                       const std::string& path) {
-  const Json earlier = opened(earlier_value);
-  const Json current = opened(current_value);
+  const Json earlier = parse_nested_object(earlier_value);
+  const Json current = parse_nested_object(current_value);
   if (earlier.is_object() && current.is_object()) {
     for (const auto& [name, value] : earlier.items()) {
       RC_ASSERT(current.contains(name));
@@ -124,7 +125,7 @@
 }
 
 template <class T>
-Json every_kind_of(uint64_t seed) {
+Json round_trip_of_each_kind(uint64_t seed) {
   std::mt19937_64 rng(seed);
   std::vector<T> values;
   Filler{rng}.fill_all(values);
@@ -135,16 +136,16 @@
   return saved;
 }
 
-RC_GTEST_PROP(Exchange, CommandsReachEarlierVersionsWhole, (uint64_t seed)) {
-  const Json commands = every_kind_of<Command>(seed);
+RC_GTEST_PROP(Exchange, EarlierVersionsReadCommandsWithoutLoss, (uint64_t seed)) {
+  const Json commands = round_trip_of_each_kind<Command>(seed);
   expect_contained(previous_versions::commit_9fefab8().rewrite_commands(commands), commands,
                    "9fefab8");
   expect_contained(previous_versions::commit_a244c51().rewrite_commands(commands), commands,
                    "a244c51");
 }
 
-RC_GTEST_PROP(Exchange, EffectsReachEarlierVersionsWhole, (uint64_t seed)) {
-  const Json effects = every_kind_of<Effect>(seed);
+RC_GTEST_PROP(Exchange, EarlierVersionsReadEffectsWithoutLoss, (uint64_t seed)) {
+  const Json effects = round_trip_of_each_kind<Effect>(seed);
   expect_contained(previous_versions::commit_9fefab8().rewrite_effects(effects), effects,
                    "9fefab8");
   expect_contained(previous_versions::commit_a244c51().rewrite_effects(effects), effects,
--- a/tests/frozen_formats_test.cpp
+++ b/tests/frozen_formats_test.cpp
@@ -1,8 +1,9 @@
-// What must never change, since users, workers and earlier versions read and write it: paths, field
-// names and bytes of each message and stored record, keys, settings, and the keys of `/stats`.
-// Compared with tests/golden/frozen_formats.json, which was written by the sources at b25747b. A
-// difference is a broken promise, not a reason to write the file anew; only a new message or field
-// is added to it: `WRITE_FROZEN_FORMATS=FILE rushtrestle_tests --gtest_filter=FrozenFormats.*`.
+// Guards the formats that must never change, because users, workers and earlier versions read and
+// write them: paths, field names and bytes of each message and stored record, keys, settings, and
+// the keys of `/stats`. The test compares them with tests/golden/frozen_formats.json, which the
+// sources at b25747b wrote. A difference breaks compatibility and is no reason to regenerate the
+// file. Only new messages and fields are added to it:
+// `WRITE_FROZEN_FORMATS=FILE rushtrestle_tests --gtest_filter=FrozenFormats.*`.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -361,7 +362,7 @@
            exchange::save(protocol::parse_operator_settings(kOperatorSettings, platform))}};
 }
 
-/// The paths of all keys; names of controllers are the same in each run.
+/// Collects the paths of all keys. The names of the controllers are the same in each run.
 void collect_keys(const Json& value, const std::string& path, std::set<std::string>& keys) {
   if (!value.is_object()) return;
   for (const auto& [name, inner] : value.items()) {
--- a/tests/versions/current_fields.h
+++ b/tests/versions/current_fields.h
@@ -1,6 +1,6 @@
-// The fields of the core's structs as it stands today. Each struct has its own list, so that a
-// renamed field does not compile; the names in quotes are those of the JSON form that all versions
-// share, and stay.
+// The fields of the core's structs in the current version. Each struct has its own list, so that a
+// renamed field fails to compile here. The names in quotes belong to the JSON form that all
+// versions share, and must not change.
 #pragma once
 #include "versions/exchange.h"
 
@@ -239,8 +239,9 @@
   a("address", v.address)("report", v.heartbeat);
 }
 
-// ---- messages between controllers: these go by their own codec, the fields serve generated values
-// ----
+// ---- messages between controllers ----
+
+// The codec converts these messages; their fields are listed only for tests that generate values.
 
 template <class A, OneOf<ReportedTask> V>
 void describe(A& a, V& v) {
@@ -282,7 +283,7 @@
 T decoded_reply(const std::string& body, size_t kind) {
   auto done = protocol::decode_reply(0, kind, "", 200, body);
   auto* value = std::get_if<T>(&done.reply);
-  if (!value) throw std::runtime_error("a message between controllers can't be read: " + body);
+  if (!value) throw std::runtime_error("cannot decode a message between controllers: " + body);
   return std::move(*value);
 }
 
--- a/tests/versions/earlier_fields.h
+++ b/tests/versions/earlier_fields.h
@@ -1,6 +1,6 @@
 // The fields of the core's structs in the earlier versions that the tests link, by the names that
-// they had there. Compiled once for each of them with its headers, so what only some of them have
-// is asked for first.
+// they had there. Compiled once for each earlier version with its headers, so a `requires` check
+// guards each field that only some of the versions have.
 #pragma once
 #include "versions/exchange.h"
 
@@ -103,7 +103,7 @@
   a("key", v.key)("value", v.value)("lease", v.lease);
 }
 
-// Commands, effects, calls and their answers: each has some of these fields.
+// Each command, effect, call and reply has some of these fields.
 template <class A>
 void describe(A& a, auto& v) {
   if constexpr (requires { v.request; }) a("request", v.request);
--- a/tests/versions/exchange.h
+++ b/tests/versions/exchange.h
@@ -1,7 +1,7 @@
-// Any value of the core as JSON and back, by the fields that `describe` lists. Included by
-// current_fields.h and earlier_fields.h, each of which gives the fields of its version's structs;
-// the JSON form is the same for all versions. What a struct does not have is left out when it is
-// written and passed over when it is read.
+// Converts any value of the core to JSON and back, by the fields that `describe` lists. Included by
+// current_fields.h and earlier_fields.h, each of which lists the fields of its version's structs;
+// the JSON form is the same for all versions. A field that a struct does not have is left out when
+// the struct is written and ignored when it is read.
 #pragma once
 #include <concepts>
 #include <optional>
@@ -31,8 +31,8 @@
   Reader& operator()(const char* name, T& value);
 };
 
-/// Chooses the functions save_message and load_message, which give what controllers say to each
-/// other the form that it has on the wire: so both versions' codecs are part of the test.
+/// Tag that selects save_message and load_message, which convert messages between controllers to
+/// and from their wire format, so that the tests cover the codecs of both versions.
 struct PeerWire {};
 
 template <class T>
@@ -78,9 +78,9 @@
   } else if constexpr (kIsVariant<T>) {
     return Json::array({v.index(), std::visit([](const auto& x) { return save(x); }, v)});
   } else {
-    Writer w;
-    describe(w, v);
-    return w.j;
+    Writer writer;
+    describe(writer, v);
+    return writer.j;
   }
 }
 
@@ -95,7 +95,7 @@
     load(j, value);
     v = std::move(value);
   } else {
-    throw std::runtime_error("no such alternative: " + std::to_string(index));
+    throw std::runtime_error("variant index out of range: " + std::to_string(index));
   }
 }
 
@@ -121,8 +121,8 @@
   } else if constexpr (kIsVariant<T>) {
     load_alternative(j.at(0).get<size_t>(), j.at(1), v);
   } else {
-    Reader r{j};
-    describe(r, v);
+    Reader reader{j};
+    describe(reader, v);
   }
 }
 
--- a/tests/versions/previous_version.h
+++ b/tests/versions/previous_version.h
@@ -1,6 +1,7 @@
-// The boundary between the tests and earlier versions of the core that are linked into them. An
-// earlier version is compiled from the repository's history with its namespace renamed, so nothing
-// here may name ours: all that passes is JSON, in the form of versions/exchange.h.
+// The interface between the tests and the earlier versions of the core that are linked into them.
+// An earlier version is compiled from the repository's history with its namespace renamed, so this
+// header may not name the current namespace: all data passes as JSON, in the form of
+// versions/exchange.h.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -18,7 +19,7 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
   virtual ~Controller() = default;
-  /// Takes a batch of commands and gives the effects.
+  /// Handles a batch of commands and returns the effects; both times are in seconds.
   virtual Json handle(const Json& commands, double steady, double wall) = 0;
 };
 
@@ -29,20 +30,20 @@
   uint64_t seed = 0;
 };
 
-/// What an earlier version can be asked to do.
+/// The functions that an earlier version provides to the tests.
 struct Version {
   std::unique_ptr<Controller> (*start)(const Start& start) = nullptr;
-  /// Reads a record and writes it again: what this version does not know is gone.
+  /// Reads a record and writes it again, without the fields that this version does not know.
   Json (*rewrite_job)(const Json& record) = nullptr;
   Json (*rewrite_machine)(const Json& record) = nullptr;
-  /// The same with a list of commands or effects, in the form of versions/exchange.h.
+  /// Reads a list of commands or effects in the form of versions/exchange.h and writes it again.
   Json (*rewrite_commands)(const Json& commands) = nullptr;
   Json (*rewrite_effects)(const Json& effects) = nullptr;
 };
 
-/// The first recorded version in production.
+/// Returns the first recorded version in production.
 Version commit_9fefab8();
-/// The version in production before gangs were a state machine in their records.
+/// Returns the version in production before gangs became a state machine in their records.
 Version commit_a244c51();
 
 }  // namespace previous_versions
