--- a/src/coordination/fleet/consolidation_rounds.h
+++ b/src/coordination/fleet/consolidation_rounds.h
@@ -26,7 +26,7 @@
   /// Forgets for how long tasks have been seen running. Called when leadership begins.
   void reset() { consolidator_.reset(); }
   bool due() const { return context_.now >= next_round_; }
-  /// Handles the next shard. Each shard has one round per sharing period, because a single pass
+  /// Handles the next shard. Each shard has one round per `share_period_s`, because a single pass
   /// over all shards would take too long. `planned` is the plan of all shards before any machine
   /// was reassigned. `cloud_view` returns the current knowledge of the cloud; it is called only if
   /// the shard has no unmet demand.
--- a/src/coordination/fleet/consolidator.cpp
+++ b/src/coordination/fleet/consolidator.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-// A task that has run for less is not moved. By the protocol, a start counts for the user once it
-// has lasted half a minute; this is twice that.
+// A task that has run for a shorter time is not moved. The protocol counts a start for the user
+// once the task has run for half a minute; this is twice that.
 constexpr double kMinRunSeconds = 60;
 constexpr double kMaxUsedShare = 0.6;  // machines with a larger share in use are not drained
 // No machine is drained while more than one in this many of the shard's machines is leaving.
@@ -76,7 +76,7 @@
     for (const auto& placement : job.placed) {
       auto& load = loads[placement.machine];
       // This task is left out, so that no on-demand machine is kept for it. It is stopped without
-      // losing work and queued again when its machine is drained.
+      // losing work and requeued when its machine is drained.
       const auto* machine = state_cache_.machine(placement.machine);
       if (machine && !machine->record.spot && uses_best_effort_capacity_only(job, context_) &&
           can_move(job.spec))
--- a/src/coordination/fleet/fair_share_reclaim.h
+++ b/src/coordination/fleet/fair_share_reclaim.h
@@ -1,7 +1,7 @@
-// Reclaims machines for teams within their guaranteed share. If no machine is free and none can be
+// Reclaims machines for teams within their guarantee. If no machine is unused and none can be
 // provisioned, a shard with a team beyond its guarantee gives up machines that hold only
 // preemptible work. Invariant: no shard falls below the guarantees of its teams. This is an
-// exception to the rule that only free machines move between shards; docs/design.md gives the
+// exception to the rule that only unused machines move between shards; docs/design.md gives the
 // reason and figures. Run by the cluster leader with each plan.
 #pragma once
 #include <map>
--- a/src/coordination/fleet/machine_reassignment.cpp
+++ b/src/coordination/fleet/machine_reassignment.cpp
@@ -36,9 +36,9 @@
   request_reassignment(machine, kNextShardForRelease, mode);
 }
 
-// The design's sharing of free machines: they go from shards that don't need them to shards whose
-// work waits, in proportion to waiting demand. Shortages get one machine each in turn, the one with
-// the most waiting demand first.
+// Shares unused machines as the design describes: they go from shards that don't need them to
+// shards whose work waits, in proportion to waiting demand. Shortages get one machine each in turn,
+// the one with the most waiting demand first.
 void MachineReassignment::reassign_unused(CapacityPlan& plan) {
   UnusedMachines unused(std::move(plan.unused), state_cache_);
   std::sort(plan.shortages.begin(), plan.shortages.end(),
--- a/src/coordination/fleet/provisioner.cpp
+++ b/src/coordination/fleet/provisioner.cpp
@@ -106,8 +106,8 @@
 }
 
 // Sends requests as long as the budget of calls allows, the first of each kind before the second of
-// any. Only one request of fifty machines per plan and kind left the budget idle while thousands of
-// machines were lacking.
+// any. With only one request, of fifty machines, per plan and kind, the budget was left idle while
+// thousands of machines were lacking.
 void Provisioner::place_orders(const std::vector<Order>& orders) {
   for (size_t from = 0, longest = 1; from < longest; from += kMaxMachinesPerRequest)
     for (const auto& order : orders) {
--- a/src/coordination/fleet/shard_capacity.h
+++ b/src/coordination/fleet/shard_capacity.h
@@ -23,7 +23,7 @@
     std::map<TypeAndZone, int> slots_by_type_and_zone;
   };
 
-  /// Starts with the machines that have a record, those that are provided but not recorded yet, and
+  /// Starts with the machines that have a record, those that exist but are not recorded yet, and
   /// those requested from the cloud. The arguments must outlive this object.
   ShardCapacity(const PlanningInputs& inputs, int shard, const ShardLoad& load,
                 const ExcludedMachines& excluded);
--- a/src/coordination/fleet/shard_planner.cpp
+++ b/src/coordination/fleet/shard_planner.cpp
@@ -111,7 +111,7 @@
 }
 
 // For best-effort jobs that can wait, only spot machines are provisioned. No best-effort job
-// without GPUs gets a new machine with GPUs, because the GPUs would be idle. Low-priority work on
+// without GPUs gets a new machine with GPUs, because the GPUs would be idle. Low-rank work on
 // on-demand machines with GPUs cost forty times as much as on the cheapest ones.
 ShardPlanner::TaskRequest ShardPlanner::request_for(const JobRecord& job, uint32_t need) {
   const Context& context = inputs_.context;
--- a/src/coordination/fleet/type_catalogue.h
+++ b/src/coordination/fleet/type_catalogue.h
@@ -1,6 +1,7 @@
 // Fetches the machine types that the cloud offers, with their prices, and records them for all
-// controllers. Prices move, shapes (all other properties) do not: the record is written only when a
-// shape has changed. Run by the cluster leader; the capacity planner takes the prices from here.
+// controllers. Prices move, shapes (all other properties) hardly ever: the record is written only
+// when a shape has changed. Run by the cluster leader; the capacity planner takes the prices from
+// here.
 #pragma once
 #include <vector>
 
--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -27,7 +27,7 @@
 
  private:
   struct Arrivals {
-    std::deque<double> times;  // submission times: seconds of the time of day
+    std::deque<double> times;  // times of day of the submissions, in seconds
     store::JobSpec last;
     double tasks_mean = 1;
   };
--- a/src/coordination/scheduling/gang_reservation.h
+++ b/src/coordination/scheduling/gang_reservation.h
@@ -25,7 +25,7 @@
   std::string job;
   store::Rank rank = store::Rank::low;
   std::set<std::string> machines;
-  double expires_at = 0;  // seconds, by the clock of `Context::now`
+  double expires_at = 0;  // steady time in seconds
 
   /// Returns true if the job must not be placed on the reserved machines.
   bool excludes(const store::JobSpec& spec) const { return spec.id != job && spec.rank <= rank; }
--- a/src/coordination/scheduling/gang_reservation_table.h
+++ b/src/coordination/scheduling/gang_reservation_table.h
@@ -40,7 +40,7 @@
   const TeamQuotas& quotas_;
   const PlacementLimits& limits_;
   std::map<int, GangReservation> reservations_;  // by shard
-  std::map<int, double> no_reservation_until_;   // by shard, in seconds of `Context::now`
+  std::map<int, double> no_reservation_until_;   // by shard: steady time in seconds
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/gang_scheduler.cpp
+++ b/src/coordination/scheduling/gang_scheduler.cpp
@@ -24,8 +24,8 @@
       phase == GangPhase::idle || (phase == GangPhase::gathering && all_members_gathering(gang));
   if (!accepts_members) return false;
   const uint32_t missing_tasks = record.spec.tasks - static_cast<uint32_t>(record.placed.size());
-  // This check says nothing about the placement class: a smaller gang of the same class may fit
-  // into its record where this gang does not.
+  // A failed check says nothing about the placement class: the record of a smaller gang of the same
+  // class may still have room for all its members.
   if (limits_.max_new_placements(record) < missing_tasks) return false;
   const PlannedPlacements planned_placements = find_room(gang, missing_tasks, slots);
   if (planned_placements.empty()) {
--- a/src/coordination/scheduling/placement.cpp
+++ b/src/coordination/scheduling/placement.cpp
@@ -154,8 +154,8 @@
                                                                     : 0;
   score += 3 * free_share;
   if (slot.empty) score += 3;
-  // Short work stays apart from work that may not be preempted, so that whole machines can be
-  // reassigned.
+  // Work that may use spot machines stays apart from work that may not be preempted, so that whole
+  // machines can be reassigned.
   if (spec.spot && !slot.spot && slot.has_non_preemptible) score += 10;
   if (!spec.spot && !slot.has_non_preemptible) score += 2;
   return score;
@@ -228,8 +228,8 @@
   constexpr double kLateStartPenalty = 20;
   const double fetch_s = spec.image_gb / std::max(kMinFetchRate, slot.type->fetch_gb_per_s);
   score += fetch_s;
-  // The other half of the time goes into accepting the job and writing its record: a fetch that
-  // takes longer than half makes the start late, which no better packing is worth.
+  // Accepting the job and writing its record take half of `start_within_s`. A fetch that takes
+  // longer than the other half makes the start late, which no better packing is worth.
   if (start_within_s > 0 && fetch_s > start_within_s / 2) score += kLateStartPenalty;
   return score;
 }
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -112,8 +112,8 @@
 double start_within_s(const store::JobSpec& spec, const store::Settings& settings);
 
 /// Returns whether a job that may use spot machines can still wait for one. It can until half of
-/// its slack is over: the time that its deadline (or its class's objective) leaves beside its run.
-/// `wall` is the time of day in seconds.
+/// its slack is over. The slack is the time that its deadline (or its class's objective) leaves
+/// beside its run. `wall` is the time of day in seconds.
 bool can_wait_for_spot(const store::JobRecord& r, const store::Settings& settings, double wall);
 
 /// Returns how many of the free GPUs can be used by tasks that take `cpu_per_gpu` CPUs for each.
--- a/src/coordination/scheduling/placement_limits.h
+++ b/src/coordination/scheduling/placement_limits.h
@@ -23,8 +23,8 @@
   /// Returns how many more placements the stored record can hold.
   uint32_t max_new_placements(const store::JobRecord& record) const;
   /// Returns on how many machines that are new to the job one write can place tasks. Each placement
-  /// is conditioned on its machine's record, and a transaction takes at most four conditions per
-  /// operation, two of which are on the job's and the shard's keys.
+  /// is conditioned on its machine's record. A transaction takes at most four conditions per
+  /// operation, and two conditions of the write are on the job's and the shard's keys.
   size_t max_new_machines_per_write() const;
 
  private:
--- a/src/coordination/scheduling/preemptor_reservations.h
+++ b/src/coordination/scheduling/preemptor_reservations.h
@@ -1,5 +1,5 @@
-// Resources that a committed requeue frees for the preempting job. They are kept from other jobs
-// until that job is placed or the reservation expires.
+// Resources that a committed requeue frees for the preemptor. They are kept from other jobs until
+// the preemptor is placed or the reservation expires.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 namespace rushtrestle::coordination {
 
 struct PreemptorReservation {
-  std::string job;  // The preempting job.
+  std::string job;  // The preemptor.
   std::string machine;
   store::Resources room;
   double expires_at = 0;  // Steady time in seconds at which the reservation expires.
--- a/src/coordination/scheduling/slot_finder.cpp
+++ b/src/coordination/scheduling/slot_finder.cpp
@@ -47,8 +47,8 @@
 std::string SlotFinder::placement_class_of(ShardJob& job) const {
   if (!job.avoid.empty()) return "";
   const auto& spec = job.desired.spec;
-  // The text is built once for each job: with thousands of jobs waiting, building it anew in each
-  // pass took a quarter of the pass.
+  // The part that never changes is built once for each job: with thousands of jobs waiting,
+  // building it anew in each pass took a quarter of the pass.
   if (job.placement_shape.empty())
     job.placement_shape = spec.job_class + "|" + spec.team + "|" + placement_shape(spec);
   std::string result = job.placement_shape;
@@ -75,9 +75,9 @@
   return constraints;
 }
 
-// Keeps the CPUs that free GPUs need for tasks with GPUs only as long as there are other CPUs, and
-// only if the image fetch on the other machine doesn't make the start late: where CPUs are scarce,
-// an idle GPU costs less than a service that is down.
+// Takes CPUs that free GPUs need only if no slot has other CPUs, or if the image fetch on the slot
+// that has them makes the start late and taking the GPUs' CPUs does not: where CPUs are scarce, an
+// idle GPU costs less than a service that is down.
 Slot* SlotFinder::select_slot_for(const ShardJob& job, const ZoneCounts& zones,
                                   std::vector<Slot>& slots) const {
   PlacementConstraints constraints = placement_constraints_for(job);
--- a/src/coordination/shard/command_dispatcher.cpp
+++ b/src/coordination/shard/command_dispatcher.cpp
@@ -9,9 +9,9 @@
 using store::MachineRecord;
 
 namespace {
-// HTTP statuses with which a worker answers commands by a heartbeat.
+// HTTP statuses of the answers to commands that carry the worker's heartbeat.
 constexpr int kOk = 200;
-constexpr int kConflict = 409;  // it saw a higher fencing token or has another agent epoch
+constexpr int kConflict = 409;  // the worker saw a higher fencing token or has another agent epoch
 }  // namespace
 
 // Serves machines round-robin by id, a bounded number in each batch. With little processor time,
--- a/src/coordination/shard/heartbeat_handler.cpp
+++ b/src/coordination/shard/heartbeat_handler.cpp
@@ -72,8 +72,8 @@
                   state_cache_.mod_revision_of(store::machine_key(machine)));
 }
 
-// This controller doesn't hear the shard leader either. A peer that does can forward the worker's
-// heartbeats.
+// Redirects the worker to a peer that hears the shard leader and can forward the worker's
+// heartbeats, as this controller doesn't hear the leader.
 bool HeartbeatHandler::redirect_to_relay_peer(RequestId request, const Heartbeat& heartbeat,
                                               const std::string& shard_leader) {
   const std::string relay_peer = membership_.relay_peer(shard_leader);
@@ -166,9 +166,9 @@
   return stops;
 }
 
-// Peers need this for the machines that they are responsible for, so machines of the shards that
-// this controller leads are left out. With those included, the messages between controllers grew
-// with the fleet and cost as much processor time as the workers' heartbeats.
+// The list tells peers which of their machines are heard here, so machines of the shards that this
+// controller leads are left out. With those included, the messages between controllers grew with
+// the fleet and cost as much processor time as the workers' heartbeats.
 std::vector<std::string> HeartbeatHandler::recent_machines_of_other_shards() const {
   std::vector<std::string> heard;
   for (const auto& [id, heard_at] : last_heard_at_) {
--- a/src/coordination/shard/job_record_writer.cpp
+++ b/src/coordination/shard/job_record_writer.cpp
@@ -113,7 +113,7 @@
 // Queues a second write to settle an unanswered one. The state store may apply the unanswered write
 // seconds later, over a record that the shard leader has read and acted on: tasks started from that
 // record ran on while the late write placed them elsewhere. Either write changes the mod revision,
-// so only one of the two can be applied. Until then no task of the job is started
+// so only one of the two can be applied. Until one is applied, no task of the job is started
 // (TaskReconciler::start_missing_tasks).
 void JobRecordWriter::supersede_indeterminate_write(ShardJob& job, uint64_t mod_revision) {
   job.indeterminate_revision = mod_revision;
--- a/src/coordination/shard/machine_health.cpp
+++ b/src/coordination/shard/machine_health.cpp
@@ -68,7 +68,7 @@
          context_.now - machine.suspect_since > context_.settings.lease_s * kSuspectTimeoutLeases;
 }
 
-// Marks a machine whose worker has not reported its address within the boot time-out.
+// Marks a machine for deletion if its worker has not reported its address within the boot time-out.
 void MachineHealth::check_boot_timeout(ShardMachine& machine, const MachineRecord& durable) {
   const auto* type = state_cache_.type(durable.type);
   const double boot_timeout_s =
--- a/src/coordination/shard/reassignment_responder.cpp
+++ b/src/coordination/shard/reassignment_responder.cpp
@@ -22,10 +22,9 @@
   }
 }
 
-// Stops the machine's tasks, which save their progress if they can and are queued again. The
-// cluster leader takes the machine for a team within its guarantee, or to release it because the
-// work fits on fewer machines. A release (no next shard) must lose no work: tasks that can't save
-// run on.
+// Stops the machine's tasks, which save their progress if they can and are requeued. The cluster
+// leader takes the machine for a team within its guarantee, or to release it because the work fits
+// on fewer machines. A release (no next shard) must lose no work: tasks that can't save run on.
 void ReassignmentResponder::drain(const ShardMachine& machine, const MachineRecord& durable) {
   const bool keep_progress = durable.next_shard < 0;
   job_writer_.stop_tasks(machine, [&](const JobRecord& job, const Placement& placement) {
--- a/src/coordination/shard/task_reconciler.h
+++ b/src/coordination/shard/task_reconciler.h
@@ -32,8 +32,8 @@
         job_writer_(job_writer),
         failures_(failures) {}
 
-  /// Applies the machine's last report to the jobs of its tasks, and returns the commands that the
-  /// worker needs; none before the machine's first heartbeat.
+  /// Applies the machine's last heartbeat to the jobs of its tasks, and returns the commands that
+  /// the worker needs; none before the machine's first heartbeat.
   WorkerCommands reconcile(ShardMachine& machine);
 
  private:
