--- a/src/coordination/membership/budget_division.cpp
+++ b/src/coordination/membership/budget_division.cpp
@@ -23,17 +23,17 @@
     if (peers_.alive(peer)) {
       needs.push_back(std::max(min_need(), reported_need(peer.state)));
     } else if (shards_.leads_a_shard(peer.settings.node)) {
-      // A peer that is not heard but still leads a shard runs behind refused connections and spends
-      // budget, too. When each controller took the whole budget for itself, the state store refused
-      // requests of all of them for exceeding the rate limit.
+      // A silent peer that still leads a shard is running, cut off from this controller, and spends
+      // budget, too. When each of several such controllers took the whole budget for itself, the
+      // state store refused requests of all of them for exceeding the rate limit.
       needs.push_back(std::max(even_share(), state_store_.needed_budget_share()));
     }
   }
   return needs;
 }
 
-// A version that does not report its need computes its share from the backlogs, and assumes that
-// the other controllers do the same.
+// Controllers of earlier versions do not report their need. They compute their share from the
+// backlogs, and assume that the other controllers do the same.
 double BudgetDivision::reported_need(const PeerState& state) const {
   constexpr double kMaxBacklog = 20;  // records; a larger backlog counts as this many
   return state.budget_need.value_or(even_share() * (1 + std::min(state.backlog, kMaxBacklog)) / 2);
--- a/src/coordination/membership/cancellation_exchange.cpp
+++ b/src/coordination/membership/cancellation_exchange.cpp
@@ -43,8 +43,8 @@
     peers_.query_next_tick(answer.node);
     return;
   }
-  // A peer that has never read the keys may lack cancellations that its previous incarnation
-  // acknowledged.
+  // A peer whose state cache was never proven current may lack cancellations that its previous
+  // incarnation acknowledged.
   if (!answer.current_age_s) return;
   constexpr double kClockDrift = 1.001;
   extend_all_coverage(query_sent_at - std::max(0.0, *answer.current_age_s) * kClockDrift);
@@ -69,8 +69,8 @@
 std::optional<double> CancellationExchange::covered_until() const {
   std::optional<double> cache_current_at;
   if (state_store_.ever_synced()) cache_current_at = state_store_.cache_current_as_of();
-  // The cancellations that this controller's previous incarnations acknowledged are durable, so
-  // each state cache that was read since holds them.
+  // The cancellations that this controller's previous incarnations acknowledged are durable, so the
+  // state cache holds them once this incarnation has synced it.
   std::optional<double> until = previous_incarnations_covered_until_;
   if (state_store_.ever_synced()) until = context_.now;
   for (const auto& [peer, coverage] : coverage_)
--- a/src/coordination/membership/cancellation_exchange.h
+++ b/src/coordination/membership/cancellation_exchange.h
@@ -27,19 +27,20 @@
 //    acknowledged before. Other contacts with the state store prove nothing: lease renewals may
 //    succeed while changes do not arrive.
 // 2. The peer's offer. The query carries the revision of this controller's state cache and its
-//    position in the peer's list of cancellations (incarnation, count). The peer answers from that
-//    list, which is in the order in which it learned of them, with those above the revision. A peer
-//    acknowledges a cancellation to a user only if it is in its list, so an offer that leaves
-//    nothing out (`complete`) proves that this controller knows all that the peer acknowledged, in
-//    its present incarnation, before the query. Mod revisions cannot serve as the position, as the
-//    peer may learn of a smaller one later. Offers are needed when the state store first refuses
-//    only this controller, the others acknowledge cancellations, and then the state store fails for
-//    all: that every controller lacks the state store says nothing of what they acknowledged
-//    before.
+//    position in the peer's list of cancellations (incarnation, count). The peer, whose list is in
+//    the order in which it learned of the cancellations, answers with those after the position
+//    whose mod revision is above that revision. A peer acknowledges a cancellation to a user only
+//    if its list has it, so an offer that leaves nothing out (`complete`) proves that this
+//    controller knows all that the peer acknowledged, in its present incarnation, before the query.
+//    Mod revisions cannot serve as the position, as the peer may learn of a smaller one later.
+//    Offers are needed when the state store first refuses only this controller, while the others
+//    acknowledge cancellations, and then fails for all: that no controller has the state store now
+//    does not show what the others acknowledged before.
 // 3. The peer's state cache. The same answer tells how long ago the peer's state cache was proven
 //    current. All that any controller acknowledged before then is in the peer's list or below this
 //    controller's own revision. This covers previous incarnations, the peer's and this
-//    controller's, which 2 does not. A peer that has never read the keys advances nothing.
+//    controller's, which 2 does not. A peer whose state cache was never proven current advances
+//    nothing.
 //
 // A peer that is silent, that restarted with empty memory, or whose version sends none of these
 // fields leaves the limit in force, counted from the last proof. docs/architecture.md
--- a/src/coordination/membership/controller_order.h
+++ b/src/coordination/membership/controller_order.h
@@ -2,9 +2,10 @@
 //
 // The controllers of the settings are sorted by name, so that all of them use the same order: the
 // i-th is the home of shard i, and the last is also the home of the cluster leader's key. Teams are
-// assigned to shards from the first on, so the last controller has the fewest: it is the home of
-// the cluster leader for that reason, and the controllers next to it take over before the
-// leaders of the busiest shards do. Used by ShardAssignment, LeaderElection and BudgetDivision.
+// assigned to shards from the first shard on, so the last controller has the fewest teams. It is
+// therefore the home of the cluster leader, and the controllers before it take over in descending
+// order, the leaders of the busiest shards last. Used by ShardAssignment, LeaderElection and
+// BudgetDivision.
 #pragma once
 #include <string>
 #include <vector>
--- a/src/coordination/membership/lease_claims.cpp
+++ b/src/coordination/membership/lease_claims.cpp
@@ -27,7 +27,8 @@
     return;
   }
   const double vacant_since = vacant_since_.emplace(key, context_.now).first->second;
-  // Home claims first; the others follow one after the other, later if home seems to be alive.
+  // The home controller claims first; the others follow in order of distance, and later if home
+  // reports that it has the state store.
   double wait = context_.tunables.renew_every_s / 2 * distance;
   if (distance > 0 && peers_.has_state_store(home)) wait += context_.tunables.state_lease_s / 2;
   constexpr uint64_t kAbsent = 0;
--- a/src/coordination/membership/peer_directory.cpp
+++ b/src/coordination/membership/peer_directory.cpp
@@ -56,9 +56,9 @@
 }
 
 void PeerDirectory::on_peer_state(const PeerState& state) {
-  // A network partition or a pause of this process may deliver a state minutes late. It must not
-  // count as current: it may say that the peer lacks the state store, or that an earlier
-  // incarnation is alive.
+  // After a network partition or a pause of this process, a state may arrive minutes late. Such a
+  // state must not count as current: it may say that the peer lacks the state store, or that an
+  // earlier incarnation is alive.
   if (state.at <
       context_.wall - context_.tunables.peer_timeout_s - 2 * context_.settings.clock_error_s)
     return;
--- a/src/coordination/membership/shard_assignment.cpp
+++ b/src/coordination/membership/shard_assignment.cpp
@@ -52,8 +52,8 @@
   return false;
 }
 
-// Work begins once the state cache covers all that earlier shard leaders wrote: when a job's end
-// was noticed before that, it could not be written and was lost.
+// Work begins once the state cache covers all that earlier shard leaders wrote: the end of a job
+// that was noticed before that could not be written and was lost.
 void ShardAssignment::complete_acquisitions() {
   for (const int shard : shards_being_acquired()) {
     const auto token = fencing_token(shard);
--- a/src/coordination/runtime/peer_messages.h
+++ b/src/coordination/runtime/peer_messages.h
@@ -27,8 +27,8 @@
   std::vector<store::Cancellation> cancellations;
 };
 
-/// A controller's state, sent to its peers about once a second. Controllers of earlier versions may
-/// omit the fields that are optional, empty or 0; receivers then assume the safe case.
+/// A controller's state, sent to each peer every `peer_every_s`. Controllers of earlier versions
+/// may omit the fields that are optional, empty or 0; receivers then assume the safe case.
 struct PeerState {
   std::string node;
   std::string incarnation;
@@ -43,7 +43,7 @@
   /// Machines whose heartbeats the controller received lately; those of its own shards may be left
   /// out.
   std::vector<std::string> machines_heard;
-  /// Controllers that it heard from lately.
+  /// Controllers that the controller heard from lately.
   std::vector<std::string> nodes;
   /// Wall-clock time at which the state was taken, in seconds since the Unix epoch.
   double at = 0;
--- a/src/coordination/runtime/tunables.h
+++ b/src/coordination/runtime/tunables.h
@@ -190,9 +190,9 @@
   static constexpr int kMinFailedJobs = 2;
 
  private:
-  // Shares of a controller's sockets. Together with the calls to the state store, the cloud and the
-  // peers, commands and forwarded heartbeats have to need less than kClientShare, which is the
-  // share of all outgoing connections (transport/controller_server.cpp).
+  // Shares of a controller's sockets. Commands and forwarded heartbeats must leave room for the
+  // calls to the state store, the cloud and the peers within kClientShare, the share of all
+  // outgoing connections (transport/controller_server.cpp).
 
   /// Share for commands to workers.
   static constexpr double kCommandShare = 0.2;
--- a/src/coordination/state/lease_keeper.cpp
+++ b/src/coordination/state/lease_keeper.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Share of the lease duration during which the lease counts as valid. The rest allows for drift
-// between the clocks of the two machines.
+// between the clocks of this controller and the state store.
 constexpr double kUsableLeaseShare = 0.998;
 // Number of times that a failed request is repeated in one renewal interval, approximately.
 constexpr double kRetriesPerInterval = 3;
--- a/src/coordination/state/lease_keeper.h
+++ b/src/coordination/state/lease_keeper.h
@@ -2,9 +2,9 @@
 // after it is lost.
 //
 // Invariant: while `valid()` returns true, the lease has not expired at the state store, despite
-// clock drift between the two machines. The state store deletes keys written with the lease when it
-// expires. StateStoreClient calls `tick`; other modules check `valid()` before they act on anything
-// that the lease protects.
+// drift between the clocks of this controller and the state store. When the lease expires, the
+// state store deletes the keys written with it. StateStoreClient calls `tick`; other modules check
+// `valid()` before they act on anything that the lease protects.
 #pragma once
 #include <cstdint>
 #include <functional>
--- a/src/coordination/state/list_and_watch.cpp
+++ b/src/coordination/state/list_and_watch.cpp
@@ -111,7 +111,7 @@
       });
 }
 
-// Only leased keys are ever deleted, and a gap in the watched changes may have hidden a deletion. A
+// Only lease keys are ever deleted, and a gap in the watched changes may have hidden a deletion. A
 // key that was written after the list passed its position is newer than the first page and stays in
 // the cache.
 void ListAndWatch::delete_unlisted_leased_keys() {
--- a/src/coordination/state/writes/write_cause.h
+++ b/src/coordination/state/writes/write_cause.h
@@ -12,7 +12,7 @@
   cancellation,
   lease_holder,  // a shard or the cluster leadership is acquired or released
   placement,     // tasks are placed on machines
-  stop,          // tasks are told to stop, by an eviction, a drain or a notice
+  stop,          // tasks are told to stop: eviction, drain or the cloud's notice of a reclaim
   gang_phase,    // an attempt of a gang has started running or has ended
   job_done,
   task_end,      // a task ended in a job that continues or was cancelled
@@ -54,7 +54,7 @@
 enum class WritePriority {
   request,     // users or shard leases wait for the write
   placement,   // placements, stops that free capacity, new machines that tasks wait for
-  completion,  // completions that a caller waits for, machine reassignments
+  completion,  // ends of jobs and phases of gangs, which others wait for; machine reassignments
   coalesced,   // ends of single tasks, delayed to be merged with other changes of the same record
   background   // delayed longer, as no reader needs the change soon
 };
--- a/src/coordination/state/writes/write_metrics.h
+++ b/src/coordination/state/writes/write_metrics.h
@@ -19,7 +19,7 @@
   transaction_rate,  // this controller's share of the transaction rate is used up
   in_flight,         // the maximum number of transactions is in flight
   record_in_flight,  // all waiting writes are for records that are being written
-  pause,             // sending is paused after a rate limit refusal or an outage
+  pause,             // sending is paused after a rate limit refusal or an unavailable answer
   no_lease
 };
 
--- a/src/protocol/platform_settings.cpp
+++ b/src/protocol/platform_settings.cpp
@@ -25,8 +25,8 @@
   settings.state = services.string("state");
 }
 
-// Returns kNoLimit for a quota of 0: "A value of 0 means none" (DEPLOY). A best-effort team has 0
-// for both quotas, and its jobs must not be refused for that.
+// Returns kNoLimit for a quota of 0: "A value of 0 means none" (the platform's DEPLOY page). A
+// best-effort team has 0 for both quotas, and its jobs must not be refused for that.
 double quota_of(const TomlTable& team, const char* key) {
   const double quota = team.number(key, 0);
   if (quota > 0) return quota;
--- a/src/store/domain.h
+++ b/src/store/domain.h
@@ -35,7 +35,7 @@
 enum class JobKind { array, service, gang };
 /// Priority, in ascending order. Stored as numbers.
 enum class Rank { low, normal, high, production };
-/// Stored as numbers.
+/// `cancelled` and `done` are final. Stored as numbers.
 enum class JobStatus { open, cancelled, done };
 
 /// A job as submitted by its user.
--- a/src/store/job_record.h
+++ b/src/store/job_record.h
@@ -26,9 +26,9 @@
 struct JobRecord {
   JobSpec spec;
   JobStatus status = JobStatus::open;
-  double submitted = 0;   // time of day
-  double last_start = 0;  // time of day of the latest start; 0: never started
-  double not_before = 0;  // time of day at which the cooldown after a committed requeue ends
+  double submitted = 0;   // wall-clock time
+  double last_start = 0;  // wall-clock time of the latest start; 0: never started
+  double not_before = 0;  // wall-clock time at which the cooldown after a committed requeue ends
   uint64_t attempts = 0;  // number of attempts so far, across all tasks of the job
   TaskSet done;
   std::vector<Placement> placed;
@@ -54,7 +54,7 @@
 JobRecord job_record_from_json(const Json& json);
 
 /// Returns the value stored for a cancellation beside a job record (`cancel/<id>`). The key
-/// alone cancels the job; readers do not need the value. `cancelled_at`: time of day.
+/// alone cancels the job; readers do not need the value. `cancelled_at`: wall-clock time.
 Json cancellation_to_json(double cancelled_at);
 
 }  // namespace rushtrestle::store
--- a/src/store/machine_record.h
+++ b/src/store/machine_record.h
@@ -33,7 +33,7 @@
   int next_shard = -1;  // with `reassignment_requested`: the new shard; -1: release
   bool drain = false;   // with `reassignment_requested`: stop the tasks that may be stopped
   MachinePhase phase = MachinePhase::assigned;
-  double since = 0;  // time of day of provisioning or adoption
+  double since = 0;  // wall-clock time of provisioning or adoption
 
   /// Whether tasks may be placed on the machine.
   bool usable() const { return phase == MachinePhase::assigned; }
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -25,7 +25,7 @@
 LeaseHolderRecord lease_holder_from_json(const Json& json);
 
 /// The newest record format that this version reads. 0: job, machine, lease holder and type
-/// records, as read by every version. 1: cancellations beside job records.
+/// records, as read by every version. 1: also cancellations beside job records.
 constexpr uint64_t kRecordFormat = 1;
 /// The first format with cancellations beside job records.
 constexpr uint64_t kFormatWithCancellations = 1;
--- a/src/transport/controller_server.cpp
+++ b/src/transport/controller_server.cpp
@@ -137,9 +137,9 @@
 
 void ControllerServer::process_commands() {
   if (commands_.empty()) return;
-  // The clock is read after the commands were received and decoded, not before: the time of a
-  // worker's answer counts from a report that was sent before this reading, however long receiving
-  // and decoding took.
+  // The clock is read after the commands were received and decoded, not before: a worker's lease
+  // counts from the sending of its heartbeat, and the core relies on that being earlier than this
+  // reading, however long receiving and decoding took.
   event_loop_.refresh_clock();
   const auto wall =
       std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
