--- a/bench/scale/cost_scaling.cpp
+++ b/bench/scale/cost_scaling.cpp
@@ -73,8 +73,8 @@
   return {store::machine_key(r.id), std::move(value), static_cast<uint64_t>(number) + 1};
 }
 
-/// Returns the bytes that a controller allocates at start, with its copy of the state, for so many
-/// live jobs, machines and teams; the state service's own records are not included.
+/// Returns the bytes that a controller allocates at start, with its copy of the state, for the
+/// given numbers of live jobs, machines and teams; the state store's own records are not included.
 double controller_bytes(int jobs, int machines, int teams) {
   const double before = allocated_bytes();
   LocalController controller(teams);
@@ -124,7 +124,7 @@
   });
 }
 
-/// The instruction count of the worker's own encoding, to be subtracted from that of
+/// Counts the instructions of the worker's own encoding, to be subtracted from the count of
 /// `measure_reports`.
 void measure_report_encoding(int tasks, int count) {
   Heartbeat report;
@@ -183,8 +183,8 @@
   });
 }
 
-/// Runs seconds of a controller that holds the only shard and leads, with machines and more
-/// waiting tasks than they hold.
+/// Runs seconds of a controller that is shard leader of the only shard and cluster leader, with
+/// more waiting tasks than its machines hold.
 void measure_seconds(int waiting_jobs, int machines, int teams, int count) {
   LocalController controller(teams);
   for (int i = 0; i < machines; ++i) controller.add_machine(i);
@@ -219,8 +219,8 @@
   return s;
 }
 
-/// Runs seconds of a controller that holds the only shard and leads a fleet with free capacity,
-/// while as many jobs as machines wait for the budget of writes.
+/// Runs seconds of a controller that is shard leader of the only shard and cluster leader of a
+/// fleet with free capacity, while as many jobs as machines wait for the write budget.
 void measure_fleet_seconds(int machines, int count) {
   constexpr int kManyTeams = 740;
   constexpr double kWritesPerSecond = 100;
--- a/bench/scale/experiment.h
+++ b/bench/scale/experiment.h
@@ -19,7 +19,7 @@
   double run_s = 0;
   double per_second = 0;       // submissions, as a Poisson process
   int at_start = 0;            // jobs that are submitted at the start
-  double cancelled_share = 0;  // share of arrays that their users cancel as they do services
+  double cancelled_share = 0;  // share of arrays that users cancel, at times drawn as for services
 };
 
 enum class FaultKind { kill_workers, cut_workers, restart_workers, kill_controllers };
@@ -27,7 +27,7 @@
 struct Fault {
   FaultKind kind = FaultKind::kill_workers;
   double at_s = 0, for_s = 0;  // start and duration in seconds
-  double share = 1;            // of the workers in the zone, or of all workers or controllers
+  double share = 1;            // of the zone's workers, of all workers, or of all controllers
   std::string zone;            // empty: all zones
 };
 
@@ -43,7 +43,7 @@
   uint64_t seed = 1;
   store::Settings platform;  // of every controller, except node, addresses and peers
   double state_latency_s = 0;
-  int finished_jobs = 0;  // records that the state service holds from the start
+  int finished_jobs = 0;  // records that the state store holds from the start
   int team_count = 1;
   double team_cpus = 0, team_cpus_max = 0;
   std::vector<MachinePool> pools;
--- a/bench/scale/hollow_worker.cpp
+++ b/bench/scale/hollow_worker.cpp
@@ -57,7 +57,7 @@
   up_ = false;
   context_.event_loop.cancel(report_timer_);
   context_.event_loop.cancel(lease_timer_);
-  // The listener stays open and answers no request: a machine without power refuses none either.
+  // The listener stays open but answers nothing: a machine without power refuses no request either.
 }
 
 void HollowWorker::restart(double after_s) {
--- a/bench/scale/jobs.h
+++ b/bench/scale/jobs.h
@@ -50,8 +50,8 @@
                     bool sent_after_done, double now);
   void check_unknown_job_answer(int status);
 
-  /// Finds jobs that are on machines longer than `cancel_s` after users were told of the
-  /// cancellation.
+  /// Adds a violation for each job that has tasks on machines more than `cancel_s` after its user
+  /// was told of the cancellation.
   void check_cancelled(double now);
 
   std::vector<std::string> violations;
@@ -68,7 +68,7 @@
   const Experiment& experiment_;
   std::unordered_map<std::string, Job> jobs_;
   std::map<std::string, store::Resources> team_used_;
-  // Jobs with tasks on machines whose users were told of the cancellation.
+  // Jobs that have tasks on machines although their users were told of the cancellation.
   std::set<std::string> cancelled_;
 };
 
--- a/bench/scale/local_controller.h
+++ b/bench/scale/local_controller.h
@@ -1,4 +1,4 @@
-// One controller's core in this process, with a simulated state service, workers that carry out
+// One controller's core in this process, with a simulated state store, workers that carry out
 // commands at once, and no network. It serves to count the cost of operations.
 #pragma once
 #include <deque>
@@ -14,9 +14,9 @@
 class LocalController {
  public:
   struct Options {
-    int teams = 1;                 // they share the machines; their limits are never reached
+    int teams = 1;                 // they share the machines; their quotas are never reached
     bool gpu_machines = false;     // half of the machines have GPUs; otherwise all have 6 CPUs
-    double writes_per_second = 0;  // of the state service; 0: unlimited
+    double writes_per_second = 0;  // of the state store; 0: unlimited
   };
   /// Creates a controller for machines in two zones.
   explicit LocalController(const Options& options);
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,5 +1,5 @@
 // rushtrestle_scale: runs real controllers with hollow workers, users, and a simulated state
-// service and cloud, all on this machine's loopback addresses, and prints its measurements.
+// store and cloud, all on this machine's loopback addresses, and prints its measurements.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
--- a/bench/scale/state_server.cpp
+++ b/bench/scale/state_server.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-// Changes that the service keeps for watches, by the protocol.
+// Changes that the state store keeps for watches, by the protocol.
 constexpr size_t kHistoryChanges = 10000;
 constexpr size_t kPageSize = 200;
 constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
 constexpr int kTasksOfFinishedJob = 10;
 
-/// Returns the record of a finished job; the state service keeps such records for ever.
+/// Returns the record of a finished job; the state store keeps such records for ever.
 Json finished_job(const std::string& id) {
   store::JobRecord r;
   r.spec.id = id;
--- a/bench/scale/state_server.h
+++ b/bench/scale/state_server.h
@@ -1,4 +1,4 @@
-// The simulated state service as a separate process: serves FakeStateStore of the tests over HTTP.
+// The simulated state store as a separate process: serves FakeStateStore of the tests over HTTP.
 #pragma once
 #include <sys/types.h>
 
--- a/bench/scale/wire.h
+++ b/bench/scale/wire.h
@@ -1,4 +1,4 @@
-// The protocol as users, workers and the state service read and write it; src/protocol has the
+// The protocol as users, workers and the state store read and write it; src/protocol has the
 // controllers' side.
 #pragma once
 #include <optional>
@@ -9,11 +9,11 @@
 
 namespace rushtrestle::scale {
 
-/// Decodes a request to the state service; returns nothing if it is malformed.
+/// Decodes a request to the state store; returns nothing if it is malformed.
 std::optional<coordination::CallBody> decode_state_request(const std::string& method,
                                                            const std::string& target,
                                                            const std::string& body);
-/// Encodes the body of the state service's answer.
+/// Encodes the body of the state store's answer.
 std::string encode_state_reply(const coordination::CallDone& done);
 
 /// Encodes a worker's report, as sent to `/checkin` and in answers to `/commands`.
--- a/tests/best_effort_test.cpp
+++ b/tests/best_effort_test.cpp
@@ -11,7 +11,7 @@
 namespace rushtrestle::testing {
 namespace {
 
-/// Returns two teams: "red" has a guarantee, "guest" has neither a guarantee nor a limit.
+/// Returns two teams: "red" has a guarantee, "guest" has neither a guarantee nor a quota.
 std::vector<store::TeamSettings> red_and_guest() {
   return {{"red", {64, 16, 0}, {144, 40, 0}}, {"guest", {}, {store::kNoLimit, store::kNoLimit, 0}}};
 }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -209,8 +209,8 @@
 
 // A controller acquired a shard while a zone's machines could not reach it, and marked them all for
 // deletion at once (incident inc-e85d). The machines come back when the partition ends, so only few
-// may be deleted by then. They are counted before the next few may be deleted, and over many seeds:
-// later the count depends on whether the machines provisioned in their place are up yet.
+// may be deleted by then. The test counts them before the next few may be deleted, because a later
+// count depends on whether replacement machines are up yet, and adds up many seeds.
 TEST(Core, ACutToManyMachinesDoesNotSetOffMassDeletion) {
   constexpr size_t kSeeds = 20;
   size_t lost = 0;
@@ -299,8 +299,8 @@
 // partition still takes effect in time (which the simulation checks).
 //
 // Occasionally a worker's first heartbeats after the cut go to controllers outside for most of its
-// lease, and its tasks are still lost: a few of all tasks over many seeds, where the failure cost
-// half of the tasks with each seed.
+// lease, and its tasks are still lost. Over many seeds these are a few of all tasks, while the
+// failure cost half of the tasks with each seed.
 TEST(Core, AZoneCutOffFromEverythingKeepsItsTasks) {
   constexpr uint64_t kSeeds = 15, kRuns = 2 * kSeeds, kTasks = 10;
   uint64_t started_again = 0, untouched = 0;
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -38,7 +38,7 @@
   multi_zone.one_zone = false;
   multi_zone.checkpoint_s = multi_zone.save_s = 0;
   sim.submit(multi_zone, 4);
-  auto too_large = gang_spec("job-4", 40, 4, 10);  // 160 CPUs; the team's limit is 144
+  auto too_large = gang_spec("job-4", 40, 4, 10);  // 160 CPUs; the team's quota is 144
   sim.submit(too_large, 5);
   sim.run_until(120);
   for (const char* id : {"job-1", "job-2", "job-3"})
@@ -346,7 +346,7 @@
 }
 
 // A member fails while the other members are still gathering, and the controller that detected the
-// failure is killed. The next shard holder must not treat the attempt as one that lost a member, or
+// failure is killed. The next shard leader must not treat the attempt as one that lost a member, or
 // it adds members that wait for gang_wait_s in vain.
 TEST(Gangs, ANewShardHolderAddsNoMemberToAnAttemptThatIsOver) {
   for (uint64_t seed = 1; seed <= 6; ++seed) {
--- a/tests/overlapping_faults_test.cpp
+++ b/tests/overlapping_faults_test.cpp
@@ -1,4 +1,5 @@
-// Combinations of two faults at the same time. docs/meetings.md lists them and what guards each.
+// Combinations of two faults at the same time. docs/meetings.md lists them and what guards against
+// each.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -26,15 +27,15 @@
   return sim.violations.empty() ? "" : sim.violations.front();
 }
 
-constexpr int kHolder = 1;     // holds the shard of team red
-constexpr int kConfirmer = 2;  // home of the cluster leader, by the controllers' names
+constexpr int kHolder = 1;     // shard leader of team red
+constexpr int kConfirmer = 2;  // home of the cluster leader's key, as the last controller by name
 constexpr int kFollower = 0;
 
-// The state service first refuses the shard holder only, and another controller confirms
-// cancellations meanwhile. Then the service is out for all controllers, for longer than cancel_s,
-// while workers report to the holder. All controllers said that they had no state service, so the
-// holder continued to answer heartbeats without knowing of the cancellations: the cancelled tasks
-// ran for 54 s.
+// The state store first refuses the shard leader only, and another controller confirms
+// cancellations meanwhile. Then the state store is out for all controllers, for longer than
+// cancel_s, while workers report to the shard leader. All controllers said that they had no state
+// store, so the shard leader continued to answer heartbeats without knowing of the cancellations:
+// the cancelled tasks ran for 54 s.
 class UnseenCancellations {
  public:
   static constexpr double kRefusedAt = 40;
@@ -93,7 +94,7 @@
 
 // Only one controller knows of a cancellation, and it dies at the start of the outage before any
 // other controller has heard of it. It restarts with empty memory and reports that it has no state
-// service, as all controllers do. The holder must not conclude that it knows all cancellations.
+// store, as all controllers do. The shard leader must not conclude that it knows all cancellations.
 TEST(OverlappingFaults, CancellationsKnownOnlyToADeadControllerStopTasksInTime) {
   for (uint64_t seed = 1; seed <= 8; ++seed) {
     for (const double back_after : {0.2, 5.0}) {
@@ -130,7 +131,7 @@
 }
 
 // Variations of the scenario above, with a further fault that keeps confirmed cancellations from
-// reaching the holder.
+// reaching the shard leader.
 RC_GTEST_PROP(OverlappingFaults, UnseenCancellationsWithAFurtherFaultBreakNoRule, ()) {
   const auto seed = *rc::gen::arbitrary<uint64_t>();
   UnseenCancellations scenario(seed, *rc::gen::inRange(0, 200) / 10.0);
@@ -214,7 +215,7 @@
 }
 
 // Users query all nodes within milliseconds after each answer, repeat submissions and cancel at
-// once, while answers of the state service are lost or late: no node answers with an older status.
+// once, while answers of the state store are lost or late: no node answers with an older status.
 RC_GTEST_PROP(OverlappingFaults, QueriesRightAfterAnAnswerNeverSeeAnOlderStatus, ()) {
   ClusterSimulation sim(random_options());
   sim.query_after_status_changes(100);
@@ -236,10 +237,10 @@
   expect_all_served(sim, jobs);
 }
 
-// Each team uses its whole limit. Jobs are cancelled whose machines hang, are cut off or receive
-// nothing while start commands are on the way to them; the shard holder and the leader die, and
-// earlier heartbeats reach their successors. Tasks that may still run on those machines keep their
-// quota until they are known to be gone.
+// Each team uses its whole quota. Jobs are cancelled while their machines hang, are cut off or
+// receive nothing, and start commands are on the way to them; the shard leader and the cluster
+// leader die, and earlier heartbeats reach their successors. Tasks that may still run on those
+// machines count against the quota until they are known to be gone.
 RC_GTEST_PROP(OverlappingFaults, ATeamAtItsLimitStaysWithinItThroughCancellationsAndTakeovers, ()) {
   auto options = random_options();
   options.teams = {{"red", {16, 0, 0}, {24, 8, 0}}, {"blue", {16, 0, 0}, {24, 8, 0}}};
@@ -343,10 +344,10 @@
 
 // The write of a placement gets no answer and is not in the store when it is looked up. Its tasks
 // are placed again, on another machine with the same attempt numbers, and then the first write is
-// applied after all. The record had the attempt, but on another machine; it was mistaken for the
-// latest placement, and both were started. Or the first write is applied just before the second is
-// sent, the second gets no answer either, the first placement is adopted and started, and then the
-// second write is applied over it.
+// applied after all. The first placement was mistaken for the second because the attempt numbers
+// are equal, and both were started. Or the first write is applied just before the second is sent,
+// the second gets no answer either, the first placement is adopted and started, and then the second
+// write is applied over it.
 TEST(OverlappingFaults, APlacementAppliedLateIsNotMistakenForTheNextOne) {
   for (uint64_t seed = 1; seed <= 120; ++seed) {
     ClusterSimulation::Options options;
@@ -437,7 +438,7 @@
   EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
-// The other combinations of the list. They have the same jobs and differ in their faults only.
+// The other combinations in docs/meetings.md. They differ in their faults only, not in their jobs.
 struct FaultCombination {
   const char* description;
   std::function<void(ClusterSimulation&, std::mt19937_64&)> schedule_faults;
--- a/tests/requeue_test.cpp
+++ b/tests/requeue_test.cpp
@@ -1,5 +1,5 @@
-// Tests the paper's criteria for nominating a job as a preemption victim, with their edge cases,
-// and preemption as a whole in a simulated cluster.
+// Tests the criteria of the Expected Runtime design for nominating a job as a preemption victim,
+// with their edge cases, and preemption as a whole in a simulated cluster.
 #include <gtest/gtest.h>
 
 #include <limits>
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -149,8 +149,8 @@
   const size_t before = sim.counters().batches_processed;
   constexpr double kSeconds = 30;
   sim.run_until(30 + kSeconds);
-  // A controller exchanges messages with four peers, one per second in each direction, and their
-  // answers. Lease renewals, a watch, health checks and plans come on top.
+  // With each of four peers, a controller exchanges one message and its answer per second. Lease
+  // renewals, a watch, health checks and plans come on top.
   constexpr double kMostPerSecond = 25;
   EXPECT_LE(static_cast<double>(sim.counters().batches_processed - before),
             kMostPerSecond * kSeconds * options.nodes);
@@ -211,9 +211,9 @@
   EXPECT_TRUE(sim.violations.empty()) << first_violation(sim);
 }
 
-// Guards against an overrun of the state service's budget: when connections between controllers
-// were refused, each controller used the whole budget, and the service refused a third of the
-// requests.
+// Guards against an overrun of the state store's request budget: when connections between
+// controllers were refused, each controller used the whole budget, and the state store refused a
+// third of the requests.
 TEST(Scale, DisconnectedControllersStillShareTheStateBudget) {
   ClusterSimulation::Options options;
   options.nodes = 5;
--- a/tests/simulation/cluster_simulation.h
+++ b/tests/simulation/cluster_simulation.h
@@ -1,4 +1,4 @@
-// Deterministic simulation of a cluster: real controllers with a simulated state service, cloud,
+// Deterministic simulation of a cluster: real controllers with a simulated state store, cloud,
 // workers, users and network. Every step checks the rules of the protocol.
 #pragma once
 #include <map>
@@ -37,7 +37,7 @@
     double run_factor = 1;                   // real run time of a task, as a multiple of estimate_s
     double runtime_increase_per_task = 0;    // task n runs (1 + n * this value) times as long
     bool consolidate = true;                 // operator setting of that name
-    double state_rps = 60;                   // state service requests per second
+    double state_rps = 60;                   // state store requests per second
     double state_write_rps = 20;             // puts and deletes per second
     double heartbeat_interval_s = 2;         // average time between a worker's heartbeats
     double lease_s = 14;      // time without a renewal after which a worker kills its tasks
@@ -48,7 +48,7 @@
     double next_write_rps = 0;  // announced puts and deletes per second; 0: none announced
     std::map<int, ControllerVersion> versions;  // of controllers that start with an earlier version
     double step_s = 0.25;                       // interval at which a worker advances its tasks
-    size_t state_page_entries = 7;              // entries per page of a state service listing
+    size_t state_page_entries = 7;              // entries per page of a state store listing
     // Peer states from and to these nodes lack the fields that the previous version does not know.
     std::set<int> nodes_without_new_peer_fields;
     double memory_in_use_mb = 0;  // per controller, of 56 MB
@@ -79,9 +79,9 @@
   ControllerVersion version_of(int node_index) const {
     return nodes_.at(static_cast<size_t>(node_index)).version;
   }
-  /// The state service answers 503 to all controllers, expires no lease and renews all at the end.
+  /// The state store answers 503 to all controllers, expires no lease and renews all at the end.
   void state_outage(double for_s);
-  /// The state service answers 503 to this controller only.
+  /// The state store answers 503 to this controller only.
   void refuse_state(int node, double for_s);
   /// Each transaction gets 429 with a probability of one half.
   void throttle_state(double for_s);
@@ -100,7 +100,7 @@
   void kill_machine(size_t machine_index);
   /// Kills all running machines of a zone.
   void kill_zone(const std::string& zone);
-  /// Tasks that start on a machine of the job exit with an error.
+  /// Tasks that start on a machine that has a task of the job exit with an error.
   void fail_tasks_on_machine_of(const std::string& job, double for_s);
   /// The tasks of the job exit with an error on every machine.
   void fail_all_tasks_of(const std::string& job) { jobs_.at(job).tasks_always_fail = true; }
@@ -132,7 +132,7 @@
   /// Adds up to `delay_s` to each message.
   void slow_links(double for_s, double delay_s);
   /// Cuts a zone's machines and `nodes_inside` off from everything outside, including the state
-  /// service, the cloud and the users. Links inside the zone stay up.
+  /// store, the cloud and the users. Links inside the zone stay up.
   void cut_zone(const std::string& zone, const std::set<int>& nodes_inside, double for_s,
                 bool hold);
   /// A copy of each heartbeat arrives `delay_s` later.
@@ -208,7 +208,7 @@
   double checkpointed_progress_s(const std::string& gang) const {
     return jobs_.at(gang).checkpointed;
   }
-  /// Returns the value of a key in the state service; null: no such key.
+  /// Returns the value of a key in the state store; null: no such key.
   const Json* stored_value(const std::string& key) const;
   /// Returns the body of `/stats` of a running controller.
   Json stats_of(int node);
@@ -363,7 +363,7 @@
   std::map<std::pair<double, uint64_t>, std::function<void()>> events_;  // by time and serial
   std::vector<Node> nodes_;
   FakeStateStore state_;
-  // Ends of the state service's faults, as times in seconds.
+  // Ends of the state store's faults, as times in seconds.
   double outage_until_ = 0, throttled_until_ = 0, slow_until_ = 0;
   std::map<int, double> refused_until_;    // by node
   std::map<std::string, Worker> workers_;  // by machine
--- a/tests/simulation/fake_state_store.h
+++ b/tests/simulation/fake_state_store.h
@@ -1,4 +1,4 @@
-// An in-memory state service: keys, leases, the log of changes, transactions and their limits. It
+// An in-memory state store: keys, leases, the log of changes, transactions and their limits. It
 // has no network; its users delay, lose or refuse requests.
 #pragma once
 #include <deque>
--- a/tests/simulation/generated_faults.cpp
+++ b/tests/simulation/generated_faults.cpp
@@ -54,13 +54,13 @@
       break;
     case 21: simulation.cancel_jobs_at_completion(fault.for_s, 0.4); break;
     case 22: simulation.query_after_status_changes(fault.for_s); break;
-    case 23:  // the state service refuses one controller, then all
+    case 23:  // the state store refuses one controller, then all
       simulation.refuse_state(node, 6);
       simulation.at(
           simulation.now() + 1 + static_cast<double>(fault.target) / 4,
           [&simulation, fault] { simulation.state_outage(fault.variant ? 45 : fault.for_s); });
       break;
-    case 24:  // loses the state service and the other controllers, but not workers or users
+    case 24:  // loses the state store and the other controllers, but not workers or users
       simulation.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
       for (int i = 0; i < 3; ++i)
         if (i != node)
--- a/tests/simulation/state_store.cpp
+++ b/tests/simulation/state_store.cpp
@@ -1,4 +1,4 @@
-// The simulated state service: outages, refusals, delays and rule checks around FakeStateStore.
+// The simulated state store: outages, refusals, delays and rule checks around FakeStateStore.
 #include <algorithm>
 
 #include "simulation/cluster_simulation.h"
@@ -6,7 +6,7 @@
 namespace rushtrestle::testing {
 
 // Delivers the recorded heartbeats twice when a controller acquires a shard or the leadership:
-// within 0.05 s, about when the new holder learns of it, and within 3 s.
+// within 0.05 s, about when that controller learns of it, and within 3 s.
 void ClusterSimulation::replay_recorded_heartbeats(const std::string& key) {
   if (key != store::leader_key && key.rfind("part/", 0) != 0) return;
   for (auto& arrive : std::exchange(recorded_deliveries_, {}))
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -36,7 +36,7 @@
   return options;
 }
 
-// A shard holder that was frozen reads a few of the waiting reports first, and must not give up the
+// A shard leader that was frozen reads a few of the waiting reports first, and must not give up the
 // machines whose reports it has not yet read. A controller that is frozen for as long as a machine
 // may be silent has lost its lease long before, and with it the right to give up machines.
 TEST(Starvation, MachinesWhoseReportsWaitUnreadAreNotGivenUp) {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -120,8 +120,8 @@
   }
 }
 
-// New controllers cannot prevent this fault: when the state service refuses one lease holder of
-// version 9fefab8 and then refuses all controllers, that lease holder keeps answering its workers
+// New controllers cannot prevent this fault: when the state store refuses one shard leader of
+// version 9fefab8 and then refuses all controllers, that shard leader keeps answering its workers
 // although another controller has confirmed a cancellation (docs/operations.md says what to avoid
 // in an upgrade). The next version, a244c51, keeps the rule next to current controllers.
 TEST(Versions, OnlyTheFirstVersionViolatesTheCancellationRuleInAnOutage) {
@@ -307,7 +307,7 @@
 }
 
 // Returns false for the kinds of fault in which 9fefab8 violates invariants by itself, whichever
-// versions run next to it: losing the state service or the other controllers (it then misses
+// versions run next to it: losing the state store or the other controllers (it then misses
 // cancellations), and transactions that are carried out late (docs/meetings.md).
 bool first_version_tolerates(const Fault& fault) {
   static const std::set<int> not_tolerated{2, 3, 9, 10, 15, 17, 23, 24};
--- a/tests/write_path_test.cpp
+++ b/tests/write_path_test.cpp
@@ -69,8 +69,8 @@
   EXPECT_LE(sim.counters().job_writes, kJobs * 7);
 }
 
-// A worker keeps a completed task until its completion is written, so the next owner of the job
-// neither runs the task again nor misses its completion.
+// A worker keeps a completed task until its completion is written, so the job's next shard
+// leader neither runs the task again nor misses its completion.
 TEST(WritePath, AKilledOwnerLosesNoBufferedCompletions) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     ClusterSimulation sim(short_budget(seed));
@@ -101,8 +101,8 @@
   }
 }
 
-// The owner buffers completions when the job is cancelled: the write of the completions must not
-// undo the cancellation, nor the cancellation the completions.
+// The shard leader buffers completions when the job is cancelled: the write of the completions must
+// not undo the cancellation, nor the cancellation the completions.
 TEST(WritePath, ACancellationAndBufferedCompletionsDoNotUndoEachOther) {
   for (uint64_t seed = 1; seed <= 10; ++seed) {
     ClusterSimulation sim(short_budget(seed));
@@ -138,7 +138,7 @@
 // An urgent job starts within seconds while another team's 120 tasks use up the write budget.
 TEST(WritePath, AnUrgentJobIsPlacedDuringAnotherTeamsBurst) {
   auto options = short_budget(7);
-  options.nodes = 1;  // one controller owns both teams
+  options.nodes = 1;  // one controller leads the shard of both teams
   options.trace = std::getenv("WORLD_TRACE") != nullptr;
   ClusterSimulation sim(options);
   for (int i = 0; i < 60; ++i) sim.submit(array_job("job-" + std::to_string(i), 2), 30 + 0.05 * i);
@@ -169,7 +169,7 @@
   EXPECT_EQ(total_starts(sim, kJobs), kJobs * kTasks);
 }
 
-// The write of a machine's address waits for the write budget. Until then, a new owner of its shard
+// The write of a machine's address waits for the write budget. Until then, a new shard leader
 // learns the address only from the worker's reports.
 TEST(WritePath, AMachineWhoseAddressIsNotWrittenYetGetsANewOwner) {
   for (uint64_t seed = 1; seed <= 5; ++seed) {
