--- a/src/coordination/fleet/capacity_plan.h
+++ b/src/coordination/fleet/capacity_plan.h
@@ -73,7 +73,7 @@
 /// Returns whether the machine has exceeded the usual boot time without coming up. Such a machine
 /// may never come up, so plans do not count it as capacity. A machine has come up if its record has
 /// an address or the cloud lists it as running, because the address may reach the record late.
-/// `wall` is the time of day in seconds.
+/// `wall` is the wall-clock time in seconds.
 bool boot_overdue(const store::MachineRecord& machine, const store::StateCache& state_cache,
                   const std::set<std::string>* running, double wall);
 
--- a/src/coordination/preemption/nomination.h
+++ b/src/coordination/preemption/nomination.h
@@ -7,10 +7,10 @@
 
 namespace rushtrestle::coordination {
 
-/// Returns the reason why the job is not nominated at time of day `wall` (seconds); empty: the job
-/// is nominated. `clock_error_s` bounds the error of each controller's clock in seconds. The design
-/// defines the reasons and uses them in counter names, except for `not_due`, for which it defines
-/// no counter.
+/// Returns the reason why the job is not nominated at wall-clock time `wall` (seconds); empty: the
+/// job is nominated. `clock_error_s` bounds the error of each controller's clock in seconds. The
+/// design defines the reasons and uses them in counter names, except for `not_due`, for which it
+/// defines no counter.
 std::string nomination_skip_reason(const store::JobRecord& job, double wall,
                                    const store::OperatorSettings& operators, double clock_error_s);
 
--- a/src/coordination/scheduling/arrival_forecast.h
+++ b/src/coordination/scheduling/arrival_forecast.h
@@ -27,7 +27,7 @@
 
  private:
   struct Arrivals {
-    std::deque<double> times;  // times of day of the submissions, in seconds
+    std::deque<double> times;  // wall-clock times of the submissions, in seconds
     store::JobSpec last;
     double tasks_mean = 1;
   };
@@ -37,7 +37,7 @@
   const store::StateCache& state_cache_;
   const Membership& membership_;
   std::map<std::pair<int, std::string>, Arrivals> arrivals_;
-  double first_arrival_at_ = 0;  // time of day (seconds) of the first arrival seen; 0: none yet
+  double first_arrival_at_ = 0;  // wall-clock time (s) of the first arrival seen; 0: none yet
 };
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/scheduling/best_effort.h
+++ b/src/coordination/scheduling/best_effort.h
@@ -8,7 +8,7 @@
 
 /// Returns true if the job has waited more than two minutes for its first start, so that it should
 /// start wherever it fits. The limit is half of the four minutes after which users check on a job.
-/// `wall` is the time of day in seconds.
+/// `wall` is the wall-clock time in seconds.
 bool is_starving(const store::JobRecord& job, double wall);
 
 /// Returns true for a best-effort job without a time limit: it may use spot machines, has the
--- a/src/coordination/scheduling/placement.h
+++ b/src/coordination/scheduling/placement.h
@@ -113,7 +113,7 @@
 
 /// Returns whether a job that may use spot machines can still wait for one. It can until half of
 /// its slack is over. The slack is the time that its deadline (or its class's objective) leaves
-/// beside its run. `wall` is the time of day in seconds.
+/// beside its run. `wall` is the wall-clock time in seconds.
 bool can_wait_for_spot(const store::JobRecord& r, const store::Settings& settings, double wall);
 
 /// Returns how many of the free GPUs can be used by tasks that take `cpu_per_gpu` CPUs for each.
--- a/tests/versions/previous_version.h
+++ b/tests/versions/previous_version.h
@@ -43,7 +43,9 @@
 
 /// Returns the first recorded version in production.
 Version commit_9fefab8();
-/// Returns the version in production before gangs became a state machine in their records.
+/// Returns a later version in production. When a gang's member ends by itself before the gang runs,
+/// this version keeps the end of the attempt in the shard leader's memory only; the current version
+/// writes it to the job's record.
 Version commit_a244c51();
 
 }  // namespace previous_versions
