--- a/tests/simulation/generated_faults.cpp
+++ b/tests/simulation/generated_faults.cpp
@@ -16,70 +16,65 @@
       rc::gen::inRange(3, 45), rc::gen::arbitrary<bool>());
 }
 
-void inject(ClusterSimulation& simulation, const Fault& fault) {
+void inject(ClusterSimulation& sim, const Fault& fault) {
   const int node = static_cast<int>(fault.target % 3);
   switch (fault.kind) {
-    case 0: simulation.kill_node(node, fault.variant ? 0.2 : 5); break;
+    case 0: sim.kill_node(node, fault.variant ? 0.2 : 5); break;
     case 1:
-      for (int i = 0; i < 3; ++i) simulation.kill_node(i, 5);
+      for (int i = 0; i < 3; ++i) sim.kill_node(i, 5);
       break;
-    case 2: simulation.state_outage(fault.for_s); break;
-    case 3: simulation.refuse_state(node, fault.for_s); break;
-    case 4: simulation.kill_machine(fault.target); break;
-    case 5: simulation.hang_machine(fault.target, fault.for_s); break;
-    case 6: simulation.fail_tasks_on_machine(fault.target, fault.for_s); break;
-    case 7: simulation.cut_machine(fault.target, fault.for_s, fault.variant, false); break;
-    case 8: simulation.cut_machine(fault.target, fault.for_s, true, true); break;
-    case 9: simulation.cut_node(node, fault.for_s, fault.variant); break;
-    case 10:
-      simulation.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
-      break;
-    case 11: simulation.throttle_state(fault.for_s); break;
-    case 13: simulation.slow_state(fault.for_s); break;
-    case 12: simulation.cut_workers(node, fault.for_s, fault.variant); break;
-    case 14: simulation.freeze_node(node, fault.for_s); break;
+    case 2: sim.state_outage(fault.for_s); break;
+    case 3: sim.refuse_state(node, fault.for_s); break;
+    case 4: sim.kill_machine(fault.target); break;
+    case 5: sim.hang_machine(fault.target, fault.for_s); break;
+    case 6: sim.fail_tasks_on_machine(fault.target, fault.for_s); break;
+    case 7: sim.cut_machine(fault.target, fault.for_s, fault.variant, false); break;
+    case 8: sim.cut_machine(fault.target, fault.for_s, true, true); break;
+    case 9: sim.cut_node(node, fault.for_s, fault.variant); break;
+    case 10: sim.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant); break;
+    case 11: sim.throttle_state(fault.for_s); break;
+    case 13: sim.slow_state(fault.for_s); break;
+    case 12: sim.cut_workers(node, fault.for_s, fault.variant); break;
+    case 14: sim.freeze_node(node, fault.for_s); break;
     case 15:
-      simulation.cut_zone(fault.variant ? "a" : "b", {node}, fault.for_s, fault.target % 2 == 0);
+      sim.cut_zone(fault.variant ? "a" : "b", {node}, fault.for_s, fault.target % 2 == 0);
       break;
     case 16:  // two restarts within half a second
-      simulation.kill_node(node, 0.1);
-      simulation.at(simulation.now() + 0.3,
-                    [&simulation, node] { simulation.kill_node(node, 0.1); });
+      sim.kill_node(node, 0.1);
+      sim.at(sim.now() + 0.3, [&sim, node] { sim.kill_node(node, 0.1); });
       break;
-    case 17: simulation.lose_transaction_answers(fault.for_s, 0.3, fault.variant); break;
-    case 18: simulation.replay_heartbeats_to_new_holders(fault.for_s); break;
-    case 19: simulation.block_heartbeats(fault.target, fault.for_s); break;
+    case 17: sim.lose_transaction_answers(fault.for_s, 0.3, fault.variant); break;
+    case 18: sim.replay_heartbeats_to_new_holders(fault.for_s); break;
+    case 19: sim.block_heartbeats(fault.target, fault.for_s); break;
     case 20:
-      simulation.cancel_running_jobs(1 + fault.target % 4, fault.variant ? fault.for_s / 2 : 0);
+      sim.cancel_running_jobs(1 + fault.target % 4, fault.variant ? fault.for_s / 2 : 0);
       break;
-    case 21: simulation.cancel_jobs_at_completion(fault.for_s, 0.4); break;
-    case 22: simulation.query_after_status_changes(fault.for_s); break;
+    case 21: sim.cancel_jobs_at_completion(fault.for_s, 0.4); break;
+    case 22: sim.query_after_status_changes(fault.for_s); break;
     case 23:  // the state store refuses one controller, then all
-      simulation.refuse_state(node, 6);
-      simulation.at(
-          simulation.now() + 1 + static_cast<double>(fault.target) / 4,
-          [&simulation, fault] { simulation.state_outage(fault.variant ? 45 : fault.for_s); });
+      sim.refuse_state(node, 6);
+      sim.at(sim.now() + 1 + static_cast<double>(fault.target) / 4,
+             [&sim, fault] { sim.state_outage(fault.variant ? 45 : fault.for_s); });
       break;
     case 24:  // loses the state store and the other controllers, but not workers or users
-      simulation.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
+      sim.cut("node-" + std::to_string(node), "state", fault.for_s, fault.variant);
       for (int i = 0; i < 3; ++i)
         if (i != node)
-          simulation.cut("node-" + std::to_string(node), "node-" + std::to_string(i), fault.for_s,
-                         fault.variant);
+          sim.cut("node-" + std::to_string(node), "node-" + std::to_string(i), fault.for_s,
+                  fault.variant);
       break;
     case 25:  // repeated changes of the leader
       for (int k = 0; k < 6; ++k)
-        simulation.at(simulation.now() + 4 * k,
-                      [&simulation, k] { simulation.kill_node(k % 3, k % 2 ? 0.2 : 3); });
+        sim.at(sim.now() + 4 * k, [&sim, k] { sim.kill_node(k % 3, k % 2 ? 0.2 : 3); });
       break;
-    case 26: simulation.starve_node(node, fault.for_s, fault.variant ? 0.3 : 1.5); break;
+    case 26: sim.starve_node(node, fault.for_s, fault.variant ? 0.3 : 1.5); break;
     case 27:
-      for (int i = 0; i < 3; ++i) simulation.starve_node(i, fault.for_s, fault.variant ? 0.2 : 0.8);
+      for (int i = 0; i < 3; ++i) sim.starve_node(i, fault.for_s, fault.variant ? 0.2 : 0.8);
       break;
     case 28:
-      simulation.starve_node(node, 0.1, fault.for_s);
+      sim.starve_node(node, 0.1, fault.for_s);
       break;  // a single pause between a decision and the sending of its effects
-    default: simulation.duplicate_heartbeats(fault.for_s, fault.for_s); break;
+    default: sim.duplicate_heartbeats(fault.for_s, fault.for_s); break;
   }
 }
 
--- a/tests/simulation/generated_faults.h
+++ b/tests/simulation/generated_faults.h
@@ -24,7 +24,7 @@
 /// Generates a fault of any kind that begins within the first two minutes.
 rc::Gen<Fault> generated_fault();
 /// Starts the fault now.
-void inject(ClusterSimulation& simulation, const Fault& fault);
+void inject(ClusterSimulation& sim, const Fault& fault);
 
 /// Returns a random job with the id job-`number`.
 store::JobSpec random_job(int number, std::mt19937_64& rng);
