--- a/src/coordination/core.cpp
+++ b/src/coordination/core.cpp
@@ -11,7 +11,7 @@
 
 namespace rushtrestle::coordination {
 
-/// The modules of a controller, wired together. Each batch goes through them in one fixed order.
+/// The modules of a controller and their connections. Each batch runs them in a fixed order.
 class Core::Modules : private store::StateCache::Listener {
  public:
   Modules(const store::Settings& settings, const store::OperatorSettings& operators,
@@ -33,7 +33,7 @@
   void execute(HandleHeartbeat&& command);
   void execute(HandleForwardedHeartbeat&& command);
   void execute(HandlePeerState&& command);
-  void execute(CallDone&& command) { context_.returned(std::move(command)); }
+  void execute(CallDone&& command) { context_.on_call_done(std::move(command)); }
   void execute(Tick&& /*command*/) {}
 
   void measure_lag();
@@ -49,8 +49,8 @@
   ShardController shard_controller_;
   ClusterLeader cluster_leader_;
   JobService job_service_;
-  double wakeup_at_ = 0;  // 0: not asked for yet
-  double handled_at_ = 0;
+  double wakeup_at_ = 0;   // requested wake-up, in steady seconds; 0: none yet
+  double handled_at_ = 0;  // last batch, in steady seconds
 };
 
 Core::Modules::Modules(const store::Settings& settings, const store::OperatorSettings& operators,
@@ -72,7 +72,7 @@
   membership_.on_shard_lost = [this](int shard) { shard_controller_.on_shard_lost(shard); };
 }
 
-// ---- changes of the state cache ----
+// ---- state cache events ----
 
 void Core::Modules::on_job_changed(const std::string& id) {
   arrival_forecast_.on_job_changed(id);
@@ -91,11 +91,11 @@
 
 void Core::Modules::execute(CheckHealth&& command) {
   const int status = job_service_.healthy() ? 200 : 503;
-  context_.out.push_back(AnswerUser{command.request, status, std::nullopt, 1});
+  context_.effects.push_back(AnswerUser{command.request, status, std::nullopt, 1});
 }
 
 void Core::Modules::execute(ShowStats&& command) {
-  context_.out.push_back(AnswerStats{command.request, stats()});
+  context_.effects.push_back(AnswerStats{command.request, stats()});
 }
 
 void Core::Modules::execute(HandleHeartbeat&& command) {
@@ -109,9 +109,9 @@
 void Core::Modules::execute(HandlePeerState&& command) {
   membership_.on_peer_query(command.state);
   PeerState own = own_state();
-  if (command.state.acknowledged)
+  if (command.state.known_cancellations)
     own.offered_cancellations = membership_.offer_cancellations(command.state);
-  context_.out.push_back(AnswerPeer{command.request, std::move(own)});
+  context_.effects.push_back(AnswerPeer{command.request, std::move(own)});
 }
 
 std::vector<Effect> Core::Modules::handle(std::deque<Command>& commands, const Clock& clock) {
@@ -130,13 +130,14 @@
   shard_controller_.tick();
   cluster_leader_.tick();
   shard_controller_.work();
-  state_store_.tick();  // last: what the others want to write leaves in the same batch
-  return std::exchange(context_.out, {});
+  state_store_.tick();  // last, so that writes of the other modules are sent in the same batch
+  return std::exchange(context_.effects, {});
 }
 
 // ---- the clock ----
 
-// A process that stood still, or gets too little processor time, comes late to what was due.
+// The lag is how much later than the requested wake-up a batch runs, because the process was paused
+// or gets too little processor time.
 void Core::Modules::measure_lag() {
   const double late = wakeup_at_ > 0 ? std::max(0.0, context_.now - wakeup_at_) : 0;
   const double halvings = (handled_at_ - context_.now) / context_.settings.heartbeat_interval_s;
@@ -144,8 +145,9 @@
   handled_at_ = context_.now;
 }
 
-// With a tick every eightieth of a heartbeat interval, two turns in five had nothing to do, and a
-// turn costs as much as a message.
+// Returns the time of the earliest timed work instead of a fixed period: with a tick every 1/80 of
+// a heartbeat interval, two batches in five had nothing to do, and a batch costs as much processor
+// time as a message.
 double Core::Modules::next_wakeup() {
   const double shortest_sleep = context_.settings.heartbeat_interval_s / 80;
   const double longest_sleep = context_.settings.heartbeat_interval_s / 4;
@@ -156,7 +158,7 @@
   return wakeup_at_;
 }
 
-// ---- what is told of this controller ----
+// ---- state reports ----
 
 PeerState Core::Modules::own_state() {
   PeerState state;
@@ -165,23 +167,24 @@
   state.has_state_store = state_store_.lease_valid() && !state_store_.disconnected();
   state.synced = state_store_.synced();
   state.backlog = state_store_.backlog();
-  state.budget_need = state_store_.need();
-  for (int shard = 0; shard < membership_.shards(); ++shard)
-    if (membership_.shard_token(shard) != 0) state.shards.push_back(shard);
-  state.machines_heard = shard_controller_.heartbeats().machines_heard_of_other_shards();
-  state.nodes = membership_.controllers_heard();
+  state.budget_need = state_store_.needed_budget_share();
+  for (int shard = 0; shard < membership_.shard_count(); ++shard)
+    if (membership_.shard_fencing_token(shard) != 0) state.shards.push_back(shard);
+  state.machines_heard = shard_controller_.heartbeats().recent_machines_of_other_shards();
+  state.nodes = membership_.live_peers();
   state.at = context_.wall;
   state.revision = state_cache_.revision();
   state.version = program_version();
   state.record_format = store::kRecordFormat;
-  if (state_store_.ever_synced()) state.current_age_s = context_.now - state_store_.current_at();
+  if (state_store_.ever_synced())
+    state.current_age_s = context_.now - state_store_.cache_current_as_of();
   return state;
 }
 
 store::Json Core::Modules::stats() {
   return {{"node", context_.settings.node},
           {"revision", state_cache_.revision()},
-          {"leading", membership_.leading()},
+          {"leading", membership_.is_cluster_leader()},
           {"state_lease", state_store_.lease_valid()},
           {"write_backlog", state_store_.backlog()},
           {"writes", state_store_.stats()},
@@ -197,7 +200,7 @@
           {"counters", context_.counters}};
 }
 
-// ---- the public face ----
+// ---- public interface ----
 
 Core::Core(const store::Settings& settings, const store::OperatorSettings& operators,
            std::string incarnation, uint64_t seed, LogLine::Level log_level)
--- a/src/coordination/fleet/type_catalogue.cpp
+++ b/src/coordination/fleet/type_catalogue.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-store::Json shapes_of(std::vector<store::MachineType> types) {
-  for (auto& type : types) type.price = type.spot_price = 0;  // prices move, shapes don't
+store::Json to_json_without_prices(std::vector<store::MachineType> types) {
+  for (auto& type : types) type.price = type.spot_price = 0;
   return to_json(types);
 }
 
@@ -40,17 +40,18 @@
   }
   next_fetch_ = context_.now + context_.settings.lease_s * 4;
   prices_ = reply->types;
-  if (shapes_of(prices_) != shapes_of(state_cache_.types())) record_types();
+  if (to_json_without_prices(prices_) != to_json_without_prices(state_cache_.types()))
+    record_types();
 }
 
 void TypeCatalogue::record_types() {
   WriteRequest write;
   write.key = store::types_key;
-  write.prepare = [this](Prepared& prepared) {
-    prepared.expected = state_cache_.mod_revision_of(store::types_key);
+  write.prepare = [this](PreparedWrite& prepared) {
+    prepared.expected_mod_revision = state_cache_.mod_revision_of(store::types_key);
     prepared.value = store::Json{{"types", to_json(prices_)}};
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
-    return membership_.leading();
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
+    return membership_.is_cluster_leader();
   };
   write.done = [](WriteOutcome, uint64_t) {};
   state_store_.write(std::move(write));
--- a/src/coordination/fleet/unrecorded_machines.cpp
+++ b/src/coordination/fleet/unrecorded_machines.cpp
@@ -8,17 +8,19 @@
   records_[machine.id] = machine;
   WriteRequest write;
   write.key = store::machine_key(machine.id);
-  write.cause = WriteCause::machine_rented;
-  write.prepare = [this, id = machine.id](Prepared& prepared) {
+  write.cause = WriteCause::machine_provisioned;
+  write.prepare = [this, id = machine.id](PreparedWrite& prepared) {
     const auto unrecorded = records_.find(id);
-    if (unrecorded == records_.end() || state_cache_.machine(id) || !membership_.leading())
+    if (unrecorded == records_.end() || state_cache_.machine(id) ||
+        !membership_.is_cluster_leader())
       return false;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = to_json(unrecorded->second);
-    prepared.preconditions.push_back({store::leader_key, membership_.leader_revision()});
+    prepared.preconditions.push_back({store::leader_key, membership_.leader_fencing_token()});
     return true;
   };
-  // If the write failed, the next listing of the cloud's machines brings the machine again.
+  // If the write failed, the next listing of the cloud's machines finds the machine without a
+  // record and adopts it.
   write.done = [this, id = machine.id](WriteOutcome, uint64_t) { records_.erase(id); };
   state_store_.write(std::move(write));
 }
--- a/src/coordination/jobs/job_service.cpp
+++ b/src/coordination/jobs/job_service.cpp
@@ -24,7 +24,7 @@
 // ---- answers ----
 
 void JobService::answer(RequestId request, int status) {
-  context_.out.push_back(AnswerUser{request, status, std::nullopt, 0});
+  context_.effects.push_back(AnswerUser{request, status, std::nullopt, 0});
 }
 
 void JobService::answer_with_job(RequestId request, int status, const std::string& id) {
@@ -36,7 +36,7 @@
   } else if (const auto* finished = state_cache_.finished_job(id)) {
     reply.job = JobView{id, finished->status, finished->tasks_done, 0};
   }
-  context_.out.push_back(std::move(reply));
+  context_.effects.push_back(std::move(reply));
 }
 
 void JobService::answer_if_known(RequestId request, const std::string& id, int status_if_unknown) {
@@ -47,7 +47,7 @@
   });
 }
 
-// A final state never changes, so even an old state cache tells it rightly.
+// A final state never changes, so it can be answered from a state cache that lags behind.
 bool JobService::answer_if_final(RequestId request, const std::string& id) {
   if (!has_final_state(id)) return false;
   answer_with_job(request, kOk, id);
@@ -56,7 +56,7 @@
 
 void JobService::refuse(RequestId request, double retry_after_s) {
   context_.counters["refused"]++;
-  context_.out.push_back(AnswerUser{request, kUnavailable, std::nullopt, retry_after_s});
+  context_.effects.push_back(AnswerUser{request, kUnavailable, std::nullopt, retry_after_s});
 }
 
 bool JobService::has_final_state(const std::string& id) const {
@@ -64,7 +64,7 @@
   return state_cache_.finished_job(id) || (live && live->record.final_state());
 }
 
-void JobService::settle(RequestId request, int status) {
+void JobService::answer_pending(RequestId request, int status) {
   const auto node = pending_.extract(request);
   if (node.empty()) return;
   if (status == kUnavailable) {
@@ -88,12 +88,12 @@
       return refuse(request, decision.retry_after_s);
     case AdmissionDecision::Verdict::retry_later: return refuse(request, decision.retry_after_s);
     case AdmissionDecision::Verdict::known: return answer_if_known(request, id, kOk);
-    // A controller that lags must not refuse a job that another has accepted.
+    // A controller that lags behind must not refuse a job that another one has accepted.
     case AdmissionDecision::Verdict::can_never_run:
       return answer_if_known(request, id, kCanNeverRun);
     case AdmissionDecision::Verdict::admit: break;
   }
-  pending_[request] = {id, context_.now + context_.tunables.user_wait_s,
+  pending_[request] = {id, context_.now + context_.tunables.write_wait_s,
                        std::move(submission.spec)};
   write_submission(request);
 }
@@ -105,13 +105,13 @@
   write.cause = WriteCause::acceptance;
   write.rank = pending.spec->rank;
   write.team = pending.spec->team;
-  write.prepare = [this, request, id = pending.id](Prepared& prepared) {
+  write.prepare = [this, request, id = pending.id](PreparedWrite& prepared) {
     const auto still_pending = pending_.find(request);
     if (still_pending == pending_.end() || state_cache_.knows_job(id)) return false;
     JobRecord record;
     record.spec = *still_pending->second.spec;
     record.submitted = context_.wall;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = to_json(record);
     return true;
   };
@@ -123,14 +123,14 @@
 
 void JobService::on_submission_written(RequestId request, const std::string& id,
                                        WriteOutcome outcome) {
-  if (outcome == WriteOutcome::applied) return settle(request, kCreated);
-  // Known by now: accepted through another request of the same user.
+  if (outcome == WriteOutcome::applied) return answer_pending(request, kCreated);
+  // Another request of the same user submitted the job in the meantime.
   if (outcome != WriteOutcome::refused && state_cache_.knows_job(id)) {
     state_store_.wait_for_read_barrier(
-        [this, request](bool current) { settle(request, current ? kOk : kUnavailable); });
+        [this, request](bool current) { answer_pending(request, current ? kOk : kUnavailable); });
     return;
   }
-  settle(request, kUnavailable);
+  answer_pending(request, kUnavailable);
 }
 
 // ---- queries ----
@@ -138,8 +138,8 @@
 void JobService::query(const QueryJob& query) {
   context_.counters["polls"]++;
   if (answer_if_final(query.request, query.id)) return;
-  // Refused at once, as the answer would come too late. Not sooner: a job that nothing can be
-  // learnt of is forgotten.
+  // A query is refused only if its answer would come after the user has given up. Refusing more
+  // would be wrong: an accepted job that users can't query counts as forgotten.
   if (admission_.sheds_queries()) {
     context_.counters["polls_shed"]++;
     return refuse(query.request, kRetryAfterS + context_.lag);
@@ -161,7 +161,7 @@
     });
     return;
   }
-  pending_[cancellation.request] = {cancellation.id, context_.now + context_.tunables.user_wait_s,
+  pending_[cancellation.request] = {cancellation.id, context_.now + context_.tunables.write_wait_s,
                                     std::nullopt};
   write_cancellation(cancellation.request);
 }
@@ -175,12 +175,12 @@
   WriteRequest write;
   write.key = store::job_key(id);
   write.cause = WriteCause::cancellation;
-  write.prepare = [this, request, id](Prepared& prepared) {
+  write.prepare = [this, request, id](PreparedWrite& prepared) {
     const auto* durable = state_cache_.job(id);
     if (!pending_.count(request) || !durable || durable->record.final_state()) return false;
     JobRecord record = durable->record;
     record.status = JobStatus::cancelled;
-    prepared.expected = durable->mod_revision;
+    prepared.expected_mod_revision = durable->mod_revision;
     prepared.value = to_json(record);
     return true;
   };
@@ -190,22 +190,23 @@
   state_store_.write(std::move(write));
 }
 
-// A record that was stored under a larger limit can't be written again before enough of its tasks
-// have ended, and its user waited for that. The cancellation gets a key of its own, once every
-// controller reads such keys (RecordFormatMarker). It holds only while the record stands
-// as it was read, and the shard leader's writes of such a record hold only while there is no
-// cancellation beside it; so one of the two is first, for everybody.
+// A record that was stored under a larger size limit can't be written again until enough of its
+// tasks have ended, and cancellations had to wait for that. Once every controller reads
+// cancellation keys (RecordFormatMarker), the cancellation is written to a key of its own instead.
+// Its precondition is that the record is unchanged, and the shard leader writes an oversized record
+// only on the precondition that the cancellation key is absent; so all controllers see the same
+// order.
 void JobService::write_cancellation_beside_record(RequestId request) {
   const std::string id = pending_.at(request).id;
   WriteRequest write;
   write.key = store::cancel_key(id);
   write.cause = WriteCause::cancellation;
-  write.prepare = [this, request, id](Prepared& prepared) {
+  write.prepare = [this, request, id](PreparedWrite& prepared) {
     const auto* durable = state_cache_.job(id);
     if (!pending_.count(request) || !durable || durable->record.final_state() ||
         !state_store_.oversized(to_json(durable->record)))
       return false;
-    prepared.expected = 0;
+    prepared.expected_mod_revision = 0;
     prepared.value = store::cancellation_to_json(context_.wall);
     prepared.preconditions.push_back({store::job_key(id), durable->mod_revision});
     return true;
@@ -219,19 +220,20 @@
 void JobService::on_cancellation_written(RequestId request, const std::string& id,
                                          WriteOutcome outcome) {
   if (!pending_.count(request)) return;
-  if (has_final_state(id)) return settle(request, kOk);
-  const bool again = outcome == WriteOutcome::conflict || outcome == WriteOutcome::unsettled ||
+  if (has_final_state(id)) return answer_pending(request, kOk);
+  const bool retry = outcome == WriteOutcome::conflict || outcome == WriteOutcome::indeterminate ||
                      outcome == WriteOutcome::skipped;
-  if (again && !state_store_.disconnected()) return write_cancellation(request);
-  settle(request, kUnavailable);
+  if (retry && !state_store_.disconnected()) return write_cancellation(request);
+  answer_pending(request, kUnavailable);
 }
 
 // ---- health and time ----
 
 bool JobService::healthy() const {
   if (!state_store_.synced()) return false;
-  // In an outage of all, answers (final states, refusals) are as good from here as from elsewhere.
-  return state_store_.lease_valid() || membership_.outage_shared();
+  // If all controllers are disconnected, this one can answer (final states, refusals) as well as
+  // any other.
+  return state_store_.lease_valid() || membership_.all_peers_lack_state_store();
 }
 
 double JobService::next_due() const {
@@ -244,7 +246,7 @@
   std::vector<RequestId> late;
   for (const auto& [request, pending] : pending_)
     if (context_.now >= pending.deadline || state_store_.disconnected()) late.push_back(request);
-  for (const RequestId request : late) settle(request, kUnavailable);
+  for (const RequestId request : late) answer_pending(request, kUnavailable);
 }
 
 }  // namespace rushtrestle::coordination
--- a/src/coordination/shard/machine_record_writer.cpp
+++ b/src/coordination/shard/machine_record_writer.cpp
@@ -13,7 +13,7 @@
   WriteRequest request;
   request.key = store::machine_key(id);
   request.cause = cause;
-  request.prepare = [this, id, change = std::move(change)](Prepared& prepared) {
+  request.prepare = [this, id, change = std::move(change)](PreparedWrite& prepared) {
     return prepare_change(id, change, prepared);
   };
   request.done = [this, id](WriteOutcome, uint64_t) {
@@ -26,40 +26,41 @@
   state_store_.write(std::move(request));
 }
 
-// In a fleet that comes up at once these were a third of all writes, and work waited behind them:
-// hence their background priority.
+// Writes of addresses have background priority: when a whole fleet starts at once they were a third
+// of all writes, and work waited behind them.
 void MachineRecordWriter::record_address(ShardMachine& queued) {
   queued.address_queued = true;
   WriteRequest request;
   request.key = store::machine_key(queued.id);
   request.cause = WriteCause::machine_address;
-  request.prepare = [this, id = queued.id](Prepared& prepared) {
+  request.prepare = [this, id = queued.id](PreparedWrite& prepared) {
     ShardMachine* machine = state_.find_machine(id);
     if (!machine) return false;
     machine->address_queued = false;
-    const auto take_over_address = [machine](MachineRecord& record) {
+    const auto set_reported_address = [machine](MachineRecord& record) {
       if (record.address == machine->address) return false;
       record.address = machine->address;
       return true;
     };
-    return prepare_change(id, take_over_address, prepared);
+    return prepare_change(id, set_reported_address, prepared);
   };
   request.done = [this, id = queued.id](WriteOutcome, uint64_t) { dispatch_queue_.add(id); };
   state_store_.write(std::move(request));
 }
 
 bool MachineRecordWriter::prepare_change(const std::string& id, const Change& change,
-                                         Prepared& prepared) const {
+                                         PreparedWrite& prepared) const {
   const auto* durable = state_cache_.machine(id);
   if (!state_.find_machine(id) || !durable || durable->record.terminating()) return false;
-  // The shard that the machine belongs to until the change is durable: the change may move it.
+  // The change may move the machine to another shard; until it is durable, the machine belongs to
+  // this one.
   const int shard = durable->record.shard;
-  const uint64_t shard_token = membership_.shard_token(shard);
+  const uint64_t shard_fencing_token = membership_.shard_fencing_token(shard);
   MachineRecord record = durable->record;
-  if (shard_token == 0 || !change(record)) return false;
-  prepared.expected = durable->mod_revision;
+  if (shard_fencing_token == 0 || !change(record)) return false;
+  prepared.expected_mod_revision = durable->mod_revision;
   prepared.value = to_json(record);
-  prepared.preconditions.push_back({store::shard_key(shard), shard_token});
+  prepared.preconditions.push_back({store::shard_key(shard), shard_fencing_token});
   return true;
 }
 
--- a/tests/scale_cli_test.sh
+++ b/tests/scale_cli_test.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# The scale run's command line: bad settings end with one line that names the field, and status 2; what can't be started
-# with status 1. Starts no fleet.
+# Tests the command line of rushtrestle_scale: it rejects invalid settings with status 2 and a line
+# that names the field, and ends with status 1 if a program cannot be started. No fleet is started.
 set -u
 program=$1
 directory=$(mktemp -d)
@@ -21,7 +21,7 @@
 
 quickstart=$(dirname "$0")/../bench/scale/experiments/quickstart.toml
 expect 2 'experiment' # no file named
-expect 2 'name: text missing' --experiment /dev/null
+expect 2 'name: missing, empty or not a string' --experiment /dev/null
 sed 's/^seconds = 30/seconds = 5000/' "$quickstart" >"$directory/long.toml"
 expect 2 'seconds: must be at most 1200' --experiment "$directory/long.toml"
 sed 's/^rank = "prod"/rank = "highest"/' "$quickstart" >"$directory/rank.toml"
--- a/tests/slot_index_test.cpp
+++ b/tests/slot_index_test.cpp
@@ -1,4 +1,4 @@
-// The index of a plan's machines against the plain search over all of them.
+// Compares the index of a plan's machines with the linear search over all of them.
 #include "coordination/scheduling/slot_index.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
             type.size};
   slot.empty = *rc::gen::arbitrary<bool>();
   if (slot.empty) return slot;
-  slot.pinned = *rc::gen::arbitrary<bool>();
+  slot.has_non_preemptible = *rc::gen::arbitrary<bool>();
   slot.free.cpus -= *rc::gen::inRange(0, static_cast<int>(type.size.cpus) + 1);
   slot.free.gpus -= *rc::gen::inRange(0, static_cast<int>(type.size.gpus) + 1);
   return slot;
@@ -43,19 +43,20 @@
   return spec;
 }
 
-Fit any_fit(double cpu_per_gpu) {
-  Fit fit;
-  fit.cpu_per_gpu = cpu_per_gpu;
-  fit.strand_gpus = *rc::gen::arbitrary<bool>();
-  fit.spot_only = *rc::gen::inRange(0, 4) == 0;
-  fit.reserve = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)),
-                 static_cast<double>(*rc::gen::element(1, 2, 4))};
-  return fit;
+PlacementConstraints any_constraints(double cpu_per_gpu) {
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = cpu_per_gpu;
+  constraints.may_strand_gpus = *rc::gen::arbitrary<bool>();
+  constraints.spot_only = *rc::gen::inRange(0, 4) == 0;
+  constraints.headroom = {static_cast<double>(*rc::gen::element(0, 3, 8, 20, 200)),
+                          static_cast<double>(*rc::gen::element(1, 2, 4))};
+  return constraints;
 }
 
-ptrdiff_t place_by_search(const store::JobSpec& spec, const ZoneCounts& zones,
-                          std::vector<Slot>& slots, const Fit& fit) {
-  const Slot* slot = select_slot(spec, zones, slots, fit);
+ptrdiff_t place_by_linear_search(const store::JobSpec& spec, const ZoneCounts& zones,
+                                 std::vector<Slot>& slots,
+                                 const PlacementConstraints& constraints) {
+  const Slot* slot = select_slot(spec, zones, slots, constraints);
   return slot ? slot - slots.data() : -1;
 }
 
@@ -73,19 +74,19 @@
   const int jobs = *rc::gen::inRange(1, 12);
   for (int job = 0; job < jobs; ++job) {
     const auto spec = any_spec();
-    const auto fit = any_fit(cpu_per_gpu);
+    const auto constraints = any_constraints(cpu_per_gpu);
     ZoneCounts zones;
     const size_t changes_before = index.changes();
     const auto slots_before = slots;
     for (uint32_t task = 0; task < spec.tasks; ++task) {
-      const ptrdiff_t expected = place_by_search(spec, zones, slots, fit);
-      const auto found = index.select_slot(spec, zones, fit);
+      const ptrdiff_t expected = place_by_linear_search(spec, zones, slots, constraints);
+      const auto found = index.select_slot(spec, zones, constraints);
       RC_ASSERT((found ? static_cast<ptrdiff_t>(*found) : -1) == expected);
       if (!found) break;
       Slot& slot = slots[*found];
       slot.free.add(spec.per_task, -1);
       slot.empty = false;
-      index.take(*found, spec.per_task);
+      index.place_task(*found, spec.per_task);
       ++zones[*slot.zone];
     }
     if (*rc::gen::inRange(0, 3) == 0) {
@@ -96,31 +97,32 @@
   }
 }
 
-// Two GPUs and the CPUs that their task takes: room that is kept for work that can run nowhere
-// else.
+// The slot has two free GPUs and 9 free CPUs. The headroom keeps both GPUs and the 8 CPUs that
+// their task takes for work that can't use spot machines, so a task without GPUs can take one CPU
+// only.
 TEST(SlotIndex, TheReserveKeepsWorkWithoutGpusAway) {
   const auto& gpu = types()[2];
   Slot slot{"", &gpu, &gpu.zones[0], false, {9, 2, 100}};
   SlotIndex index;
   index.reset(4);
   index.add(slot);
-  Fit fit;
-  fit.cpu_per_gpu = 4;
-  fit.strand_gpus = true;
-  fit.reserve = {2, 2};
+  PlacementConstraints constraints;
+  constraints.cpu_per_gpu = 4;
+  constraints.may_strand_gpus = true;
+  constraints.headroom = {2, 2};
   store::JobSpec spec;
   spec.per_task = {2, 0, 1};
-  EXPECT_FALSE(index.select_slot(spec, {}, fit));
+  EXPECT_FALSE(index.select_slot(spec, {}, constraints));
   spec.per_task.cpus = 1;
-  EXPECT_TRUE(index.select_slot(spec, {}, fit));
-  fit.reserve.gpus = 0;
+  EXPECT_TRUE(index.select_slot(spec, {}, constraints));
+  constraints.headroom.gpus = 0;
   spec.per_task.cpus = 2;
-  EXPECT_TRUE(index.select_slot(spec, {}, fit));
+  EXPECT_TRUE(index.select_slot(spec, {}, constraints));
 }
 
-// Looks at groups and slots for as many tasks as machines, of four shapes in turn, until the
-// machines are full.
-uint64_t looked_at_to_fill(size_t machines, double reserved_gpus) {
+// Returns how many groups and slots the index visits while it places eight tasks per machine, of
+// four shapes in turn; no task fits any more once the machines are full.
+uint64_t visits_to_fill(size_t machines, double headroom_gpus) {
   SlotIndex index;
   index.reset(4);
   for (size_t i = 0; i < machines; ++i) {
@@ -131,26 +133,26 @@
   for (size_t task = 0; task < 8 * machines; ++task) {
     store::JobSpec spec;
     spec.per_task = shapes[task % shapes.size()];
-    Fit fit;
-    fit.cpu_per_gpu = 4;
-    fit.reserve.gpus = reserved_gpus;
-    if (const auto place = index.select_slot(spec, {}, fit)) index.take(*place, spec.per_task);
+    PlacementConstraints constraints;
+    constraints.cpu_per_gpu = 4;
+    constraints.headroom.gpus = headroom_gpus;
+    if (const auto slot_number = index.select_slot(spec, {}, constraints))
+      index.place_task(*slot_number, spec.per_task);
   }
-  return index.looked_at();
+  return index.visits();
 }
 
-// A search over all machines for each task took the leader of 4,000 machines more than its share of
-// a core.
+// Guards against a search over all machines for each task, which took the leader of a cluster of
+// 4,000 machines more than its share of a core.
 TEST(SlotIndex, TheWorkOfAPlanGrowsWithItsTasks) {
   constexpr size_t kFew = 500;
-  constexpr uint64_t kTimes = 8;
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 0), looked_at_to_fill(kFew, 0) * kTimes * 3 / 2);
-  // A reserve that stays, one that grows with the fleet, and one for which there is too little
-  // room.
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 20), looked_at_to_fill(kFew, 20) * kTimes * 3 / 2);
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, kFew * kTimes),
-            looked_at_to_fill(kFew, kFew) * kTimes * 3 / 2);
-  EXPECT_LE(looked_at_to_fill(kFew * kTimes, 1e6), looked_at_to_fill(kFew, 1e6) * kTimes * 3 / 2);
+  constexpr uint64_t kGrowth = 8;
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 0), visits_to_fill(kFew, 0) * kGrowth * 3 / 2);
+  // The headroom is constant, grows with the fleet, or exceeds the fleet's capacity.
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 20), visits_to_fill(kFew, 20) * kGrowth * 3 / 2);
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, kFew * kGrowth),
+            visits_to_fill(kFew, kFew) * kGrowth * 3 / 2);
+  EXPECT_LE(visits_to_fill(kFew * kGrowth, 1e6), visits_to_fill(kFew, 1e6) * kGrowth * 3 / 2);
 }
 
 }  // namespace
